--- a/crates/cassiarock-dispatch/src/directory.rs
+++ b/crates/cassiarock-dispatch/src/directory.rs
@@ -2,7 +2,7 @@
 
 use crate::agent::Input;
 use crate::follow::{Feed, News, follow};
-use cassiarock_adapter::store::{Entry, Part, keyed};
+use cassiarock_adapter::store::{KeyedRecord, Partition, encode_keyed};
 use cassiarock_adapter::{Error, Store};
 use cassiarock_id::{Name, Process, Wall};
 use cassiarock_platform::follow::Backoff;
@@ -17,14 +17,14 @@
 
 /// When each entry last said that it is still there, by its address. Nobody follows this topic:
 /// a renewal changes nothing for those that know the entry.
-const RENEWED: Part<'static> = Part {
+const RENEWED: Partition<'static> = Partition {
     topic: "keyed.renewed",
-    part: 0,
+    number: 0,
 };
 
-const PART: Part<'static> = Part {
+const PART: Partition<'static> = Partition {
     topic: TOPIC,
-    part: 0,
+    number: 0,
 };
 
 /// How often an entry says that it is still there.
@@ -52,12 +52,12 @@
 }
 
 /// Puts the record of an entry, trying until the store takes it.
-async fn put(store: &Store, part: Part<'_>, place: &Place, process: &Process) {
+async fn put(store: &Store, part: Partition<'_>, place: &Place, process: &Process) {
     let mut backoff = Backoff::default();
     loop {
         let now = Wall::now().as_millis();
         let value = format!("{process} {} {now}", place.data_centre);
-        let record = keyed(&place.address, value.as_bytes());
+        let record = encode_keyed(&place.address, value.as_bytes());
         match store.append(part, &record, None).await {
             Ok(offset) => {
                 log::info!(address = place.address, topic = part.topic, offset = offset; "announced");
@@ -76,21 +76,24 @@
 /// written since the records were read: an order that the store carries out seconds late
 /// cannot delete the record of an entry that has come back at that address.
 async fn clear(store: &Store) -> Result<(), Error> {
-    let (renewed, _) = store.newest(RENEWED).await?;
-    let renewed: HashMap<&str, &Entry> = renewed.iter().map(|at| (&*at.key, at)).collect();
-    let (entries, mut end) = store.newest(PART).await?;
+    let (renewed, _) = store.read_newest(RENEWED).await?;
+    let renewed: HashMap<&str, &KeyedRecord> = renewed.iter().map(|at| (&*at.key, at)).collect();
+    let (entries, mut end) = store.read_newest(PART).await?;
     let now = Wall::now();
-    let is_gone = |entry: &&Entry| {
+    let is_gone = |entry: &&KeyedRecord| {
         let renewed = renewed.get(&*entry.key);
         is_old(entry, now) && renewed.is_none_or(|renewed| is_old(renewed, now))
     };
     for entry in entries.iter().filter(is_gone) {
-        match store.append(PART, &keyed(&entry.key, b""), Some(end)).await {
+        match store
+            .append(PART, &encode_keyed(&entry.key, b""), Some(end))
+            .await
+        {
             Ok(offset) => {
                 end = offset + 1;
                 log::info!(address = entry.key, offset = offset; "cleared");
             }
-            Err(error) if error.is_moved() => return Ok(()),
+            Err(error) if error.is_precondition_failed() => return Ok(()),
             Err(error) => return Err(error),
         }
     }
@@ -98,14 +101,14 @@
 }
 
 /// Whether the record was written too long ago. One of another writer says no time, and stays.
-fn is_old(entry: &Entry, now: Wall) -> bool {
+fn is_old(entry: &KeyedRecord, now: Wall) -> bool {
     let value = std::str::from_utf8(&entry.value).unwrap_or_default();
     let renewed = value.rsplit([' ', '#']).next();
     let renewed = renewed.and_then(|millis| millis.parse().ok());
     renewed.is_some_and(|millis| now.since(Wall::from_millis(millis)) > GONE)
 }
 
-fn place(entry: &Entry) -> Place {
+fn place(entry: &KeyedRecord) -> Place {
     Place::new(&*entry.key, data_centre(&entry.value))
 }
 
@@ -164,7 +167,7 @@
 ) {
     let mut backoff = Backoff::default();
     loop {
-        let pause = match store.newest(PART).await {
+        let pause = match store.read_newest(PART).await {
             Ok((entries, end)) => {
                 backoff.succeed();
                 let update = Update::all(end, entries.iter().map(place));
--- a/crates/cassiarock-dispatch/src/follow.rs
+++ b/crates/cassiarock-dispatch/src/follow.rs
@@ -1,6 +1,6 @@
 //! Follows a keyed topic of the platform's store.
 
-use cassiarock_adapter::store::{Entry, Part, split};
+use cassiarock_adapter::store::{KeyedRecord, Partition, decode_keyed};
 use cassiarock_adapter::{Error, Store};
 use cassiarock_platform::follow::Backoff;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 pub(crate) enum News<'a> {
     /// The newest record of each key, in place of all that was shown before, and the offset
     /// from which later records follow. Keys that are missing have been dropped.
-    Newest(&'a [Entry], u64),
+    Newest(&'a [KeyedRecord], u64),
     /// The record at this offset: its key and its value, which is empty if it drops the key.
     Record(u64, &'a str, &'a [u8]),
     /// All records of one read have been shown.
@@ -81,9 +81,9 @@
         skips,
         pause,
     } = feed;
-    let of = Part { topic, part: 0 };
+    let of = Partition { topic, number: 0 };
     let Some(next) = next else {
-        let (entries, end) = store.newest(of).await?;
+        let (entries, end) = store.read_newest(of).await?;
         take(News::Newest(&entries, end));
         return Ok(Some(end));
     };
@@ -92,7 +92,7 @@
         Ok(batch) if batch.end < next || batch.earliest > next => Ok(None),
         Ok(batch) => {
             for (offset, record) in (next..).zip(&batch.records) {
-                if let Some((key, value)) = split(record) {
+                if let Some((key, value)) = decode_keyed(record) {
                     take(News::Record(offset, key, value));
                 }
             }
--- a/crates/cassiarock-dispatch/src/learned.rs
+++ b/crates/cassiarock-dispatch/src/learned.rs
@@ -4,7 +4,7 @@
 //! before they come, and an entry that knows nothing cannot tell which.
 
 use crate::entry::Input;
-use cassiarock_adapter::store::{Part, keyed};
+use cassiarock_adapter::store::{Partition, encode_keyed};
 use cassiarock_adapter::{Error, Store};
 use cassiarock_id::Name;
 use std::collections::BTreeMap;
@@ -13,9 +13,9 @@
 
 /// All routes are one record, which a new process reads in one call. Routes that the
 /// configuration has dropped stay in it.
-const PART: Part<'static> = Part {
+const PART: Partition<'static> = Partition {
     topic: "keyed.learned",
-    part: 0,
+    number: 0,
 };
 const KEY: &str = "patience";
 
@@ -46,7 +46,7 @@
 }
 
 async fn exchange(store: &Store, inputs: &mpsc::Sender<Input>) -> Result<(), Error> {
-    let (entries, _) = store.newest(PART).await?;
+    let (entries, _) = store.read_newest(PART).await?;
     let newest = entries.iter().find(|entry| entry.key == KEY);
     let known = newest.map(|entry| decode(&entry.value)).unwrap_or_default();
     let (reply, learned) = oneshot::channel();
@@ -67,7 +67,7 @@
             return Ok(());
         }
     };
-    store.append(PART, &keyed(KEY, &value), None).await?;
+    store.append(PART, &encode_keyed(KEY, &value), None).await?;
     log::info!(before:? = known, now:? = learned; "what callers usually wait is on record");
     Ok(())
 }
--- a/crates/cassiarock-platform/src/log.rs
+++ b/crates/cassiarock-platform/src/log.rs
@@ -3,13 +3,13 @@
 use crate::batch::{Batch, Item};
 use crate::error::Error;
 use cassiarock_adapter::Store;
-use cassiarock_adapter::store::Part;
+use cassiarock_adapter::store::Partition;
 use std::time::Duration;
 
 /// Where the records lie: one partition, so that all processes read them in one order.
-const PART: Part<'static> = Part {
+const PART: Partition<'static> = Partition {
     topic: "cassiarock",
-    part: 0,
+    number: 0,
 };
 
 /// An append takes several milliseconds; three seconds cover a slow spell and still leave time
@@ -70,7 +70,7 @@
     /// The log's address, for messages.
     #[must_use]
     pub fn peer(&self) -> &str {
-        self.store.peer()
+        self.store.url()
     }
 
     /// Adds a record and gives its offset.
