--- a/crates/cassiarock-dispatch/src/agent.rs
+++ b/crates/cassiarock-dispatch/src/agent.rs
@@ -128,8 +128,8 @@
 impl Agent {
     fn take(&mut self, input: Input, now: Duration) -> Vec<Action> {
         match input {
-            Input::Report(Report::Here(worker)) => self.host.report(worker, now),
-            Input::Report(Report::Gone(id)) => self.host.deregister(&id, now),
+            Input::Report(Report::Heartbeat(worker)) => self.host.report(worker, now),
+            Input::Report(Report::Deregistered(id)) => self.host.deregister(&id, now),
             Input::Gone(life) => self.host.replaced(&life, now),
             Input::Fenced(life) => self.host.fenced(&life),
             Input::Link(event) => self.event(event, now),
--- a/crates/cassiarock-dispatch/src/entry/calls.rs
+++ b/crates/cassiarock-dispatch/src/entry/calls.rs
@@ -20,7 +20,7 @@
                 self.callers.insert(number, reply);
                 self.scheduler.submit(number, job, class, patience, now)
             }
-            Call::Left(number) => {
+            Call::Disconnected(number) => {
                 self.callers.remove(&number);
                 self.scheduler.abandon(number, "its caller left", now)
             }
--- a/crates/cassiarock-dispatch/src/error.rs
+++ b/crates/cassiarock-dispatch/src/error.rs
@@ -12,7 +12,7 @@
     /// The settings lack an address that this role needs: give the role to machines of the
     /// class that has it, and let the role serve it.
     #[error("the settings name no address for {0}")]
-    Address(&'static str),
+    MissingAddress(&'static str),
     /// A part of the process is gone.
     #[error(transparent)]
     Part(#[from] cassiarock_process::Fault),
--- a/crates/cassiarock-dispatch/src/lib.rs
+++ b/crates/cassiarock-dispatch/src/lib.rs
@@ -16,4 +16,4 @@
 mod run;
 
 pub use error::Error;
-pub use run::{agent, entry};
+pub use run::{run_agent, run_entry};
--- a/crates/cassiarock-dispatch/src/operator.rs
+++ b/crates/cassiarock-dispatch/src/operator.rs
@@ -31,7 +31,7 @@
         match news {
             News::Newest(entries, end) => {
                 let mut evacuated = Vec::new();
-                for order in entries.iter().filter_map(Order::of) {
+                for order in entries.iter().filter_map(Order::from_record) {
                     match order {
                         Order::Configuration(text) => self.configuration = Some(text),
                         Order::Evacuate(data_centre) => evacuated.push(data_centre),
--- a/crates/cassiarock-dispatch/src/orders.rs
+++ b/crates/cassiarock-dispatch/src/orders.rs
@@ -1,8 +1,8 @@
 //! Carries orders to the upstream and polls it.
 
 use crate::agent::{Input, Poll};
-use cassiarock_adapter::Worker;
-use cassiarock_adapter::worker::{CONNECTIONS, Fault, Target};
+use cassiarock_adapter::UpstreamClient;
+use cassiarock_adapter::worker::{CallError, MAX_CONNECTIONS, Target};
 use cassiarock_id::Name;
 use cassiarock_transient::host::{Answer, Task, pause};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 /// are dear to the upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Orders {
-    worker: Worker,
+    worker: UpstreamClient,
     inputs: mpsc::Sender<Input>,
     free: Arc<Semaphore>,
     /// The mean time of an answered start, in microseconds.
@@ -34,8 +34,8 @@
 }
 
 impl Orders {
-    pub(crate) fn new(worker: Worker, inputs: mpsc::Sender<Input>) -> Self {
-        let free = Arc::new(Semaphore::new(CONNECTIONS - 1));
+    pub(crate) fn new(worker: UpstreamClient, inputs: mpsc::Sender<Input>) -> Self {
+        let free = Arc::new(Semaphore::new(MAX_CONNECTIONS - 1));
         Self {
             worker,
             inputs,
@@ -71,9 +71,9 @@
                     this.learn(began.elapsed());
                     Input::Started(life, task, answer, clock)
                 }
-                Err(Fault::OtherLife) => Input::Gone(life),
-                Err(Fault::Fenced) => Input::Fenced(life),
-                Err(Fault::Call(error)) => {
+                Err(CallError::OtherLife) => Input::Gone(life),
+                Err(CallError::Fenced) => Input::Fenced(life),
+                Err(CallError::Failed(error)) => {
                     log::warn!(task:% = task; "{error}");
                     Input::Started(life, task, Answer::Silent, None)
                 }
@@ -93,9 +93,9 @@
             let life = target.life;
             let input = match answer {
                 Ok(clock) => Input::Stopped(life, task, clock),
-                Err(Fault::OtherLife) => Input::Gone(life),
-                Err(Fault::Fenced) => Input::Fenced(life),
-                Err(Fault::Call(error)) => {
+                Err(CallError::OtherLife) => Input::Gone(life),
+                Err(CallError::Fenced) => Input::Fenced(life),
+                Err(CallError::Failed(error)) => {
                     // The host orders it again.
                     log::warn!(task:% = task; "{error}");
                     return;
@@ -166,9 +166,9 @@
             .await;
         let (is_answered, input) = match snapshot {
             Ok(snapshot) => (true, Input::Snapshot(snapshot)),
-            Err(Fault::OtherLife) => (false, Input::Gone(target.life)),
-            Err(Fault::Fenced) => (false, Input::Fenced(target.life)),
-            Err(Fault::Call(error)) => {
+            Err(CallError::OtherLife) => (false, Input::Gone(target.life)),
+            Err(CallError::Fenced) => (false, Input::Fenced(target.life)),
+            Err(CallError::Failed(error)) => {
                 log::warn!(dependency = "upstream"; "lost: {error}");
                 return false;
             }
--- a/crates/cassiarock-dispatch/src/run/agent.rs
+++ b/crates/cassiarock-dispatch/src/run/agent.rs
@@ -6,7 +6,7 @@
 use crate::orders::Orders;
 use crate::reload::reload;
 use crate::{Error, directory};
-use cassiarock_adapter::{Settings, Store, Worker, reports};
+use cassiarock_adapter::{Settings, Store, UpstreamClient, reports};
 use cassiarock_id::{Process, Wall};
 use cassiarock_peer::{Key, Links};
 use cassiarock_process::{BACKLOG, Clock, Parts, Pump, Report, Stage, Status, forward, until};
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// If a listener or a client cannot be set up.
-pub async fn agent(
+pub async fn run_agent(
     file: PathBuf,
     settings: Settings,
     mut asked: watch::Receiver<Stage>,
@@ -50,8 +50,10 @@
 
 impl Running {
     async fn start(file: PathBuf, settings: Settings) -> Result<Self, Error> {
-        let upstream = settings.upstream.ok_or(Error::Address("the upstream"))?;
-        let at = settings.reports.ok_or(Error::Address("reports"))?;
+        let upstream = settings
+            .upstream
+            .ok_or(Error::MissingAddress("the upstream"))?;
+        let at = settings.reports.ok_or(Error::MissingAddress("reports"))?;
         let listener = bind(at).await?;
         let process = Process::new(settings.name.clone(), Wall::now().as_millis());
         let identity = identity(&settings, &process, Role::Agent);
@@ -62,7 +64,7 @@
         let (found, addresses) = mpsc::channel(BACKLOG);
         let first = Status::new(process, "agent", settings.data_centre.clone());
         let (status, statuses) = watch::channel(first);
-        let orders = Orders::new(Worker::new(upstream)?, inputs.clone());
+        let orders = Orders::new(UpstreamClient::new(upstream)?, inputs.clone());
         let roster = Roster::new(identity.process.name.clone());
         let mesh = Mesh::new(roster, identity, Key::new(KEY), events);
         let actor = Agent::spawn(new(mesh, orders.clone(), status));
--- a/crates/cassiarock-dispatch/src/run/entry.rs
+++ b/crates/cassiarock-dispatch/src/run/entry.rs
@@ -5,7 +5,7 @@
 use crate::mesh::Mesh;
 use crate::reload::reload;
 use crate::{Error, directory, learned, operator};
-use cassiarock_adapter::callers::{self, Door};
+use cassiarock_adapter::callers::{self, RouterState};
 use cassiarock_adapter::{Settings, Store};
 use cassiarock_caller::Limit;
 use cassiarock_id::{Process, Wall};
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// If a listener or a client cannot be set up.
-pub async fn entry(
+pub async fn run_entry(
     file: PathBuf,
     settings: Settings,
     mut asked: watch::Receiver<Stage>,
@@ -83,7 +83,7 @@
 
 impl Running {
     async fn start(file: PathBuf, settings: Settings) -> Result<Self, Error> {
-        let listener = bind(settings.callers.ok_or(Error::Address("callers"))?).await?;
+        let listener = bind(settings.callers.ok_or(Error::MissingAddress("callers"))?).await?;
         let process = Process::new(settings.name.clone(), Wall::now().as_millis());
         let identity = identity(&settings, &process, Role::Entry);
         let links = Listener::bind(settings.peers).await?;
@@ -142,10 +142,10 @@
         );
         monitor(&settings, &statuses, &mut parts).await?;
         let is_leaving = Arc::new(AtomicBool::new(false));
-        let configured_by = Instant::now() + CONFIGURED;
-        let door = Door::new(calls, tables, is_leaving.clone(), configured_by);
+        let configuration_deadline = Instant::now() + CONFIGURED;
+        let state = RouterState::new(calls, tables, is_leaving.clone(), configuration_deadline);
         let (close, closing) = watch::channel(Stage::Run);
-        let server = tokio::spawn(serve(listener, callers::router(door), closing));
+        let server = tokio::spawn(serve(listener, callers::router(state), closing));
         Ok(Self {
             inputs,
             statuses,
--- a/crates/cassiarock-dispatch/src/run/mod.rs
+++ b/crates/cassiarock-dispatch/src/run/mod.rs
@@ -3,8 +3,8 @@
 mod agent;
 mod entry;
 
-pub use agent::agent;
-pub use entry::entry;
+pub use agent::run_agent;
+pub use entry::run_entry;
 
 use crate::Error;
 use crate::links::tempo;
--- a/src/bin/cassiarockd/program.rs
+++ b/src/bin/cassiarockd/program.rs
@@ -129,8 +129,8 @@
 ) -> Result<Report, Fault> {
     log::info!(role:? = role, version = env!("CARGO_PKG_VERSION"), data_centre = &*settings.data_centre, peers:% = settings.peers, store:% = settings.store; "started");
     let ended = match role {
-        Role::Entry => cassiarock_dispatch::entry(file, settings, asked).await,
-        Role::Agent => cassiarock_dispatch::agent(file, settings, asked).await,
+        Role::Entry => cassiarock_dispatch::run_entry(file, settings, asked).await,
+        Role::Agent => cassiarock_dispatch::run_agent(file, settings, asked).await,
     };
     Ok(ended.inspect_err(|error| log::error!("ended: {error}"))?)
 }
