--- a/crates/cassiarock-dispatch/src/agent.rs
+++ b/crates/cassiarock-dispatch/src/agent.rs
@@ -172,7 +172,7 @@
     fn target(&self) -> Option<Target> {
         let worker = self.host.worker()?;
         Some(Target {
-            life: worker.life(),
+            incarnation: worker.life(),
             fence: self.host.fence(),
         })
     }
--- a/crates/cassiarock-dispatch/src/orders.rs
+++ b/crates/cassiarock-dispatch/src/orders.rs
@@ -65,17 +65,17 @@
             let began = tokio::time::Instant::now();
             let limit = this.limit();
             let answer = this.worker.start(&target, &task, &spec, until, limit).await;
-            let life = target.life;
+            let incarnation = target.incarnation;
             let input = match answer {
                 Ok((answer, clock)) => {
                     this.learn(began.elapsed());
-                    Input::Started(life, task, answer, clock)
+                    Input::Started(incarnation, task, answer, clock)
                 }
-                Err(CallError::OtherLife) => Input::Gone(life),
-                Err(CallError::Fenced) => Input::Fenced(life),
+                Err(CallError::OtherIncarnation) => Input::Gone(incarnation),
+                Err(CallError::Fenced) => Input::Fenced(incarnation),
                 Err(CallError::Failed(error)) => {
                     log::warn!(task:% = task; "{error}");
-                    Input::Started(life, task, Answer::Silent, None)
+                    Input::Started(incarnation, task, Answer::Silent, None)
                 }
             };
             metrics::histogram!("cassiarock_start_seconds").record(began.elapsed());
@@ -90,11 +90,11 @@
             // The semaphore is never closed.
             let _permit = this.free.acquire().await;
             let answer = this.worker.stop(&target, &task, this.limit()).await;
-            let life = target.life;
+            let incarnation = target.incarnation;
             let input = match answer {
-                Ok(clock) => Input::Stopped(life, task, clock),
-                Err(CallError::OtherLife) => Input::Gone(life),
-                Err(CallError::Fenced) => Input::Fenced(life),
+                Ok(clock) => Input::Stopped(incarnation, task, clock),
+                Err(CallError::OtherIncarnation) => Input::Gone(incarnation),
+                Err(CallError::Fenced) => Input::Fenced(incarnation),
                 Err(CallError::Failed(error)) => {
                     // The host orders it again.
                     log::warn!(task:% = task; "{error}");
@@ -166,8 +166,8 @@
             .await;
         let (is_answered, input) = match snapshot {
             Ok(snapshot) => (true, Input::Snapshot(snapshot)),
-            Err(CallError::OtherLife) => (false, Input::Gone(target.life)),
-            Err(CallError::Fenced) => (false, Input::Fenced(target.life)),
+            Err(CallError::OtherIncarnation) => (false, Input::Gone(target.incarnation)),
+            Err(CallError::Fenced) => (false, Input::Fenced(target.incarnation)),
             Err(CallError::Failed(error)) => {
                 log::warn!(dependency = "upstream"; "lost: {error}");
                 return false;
