--- a/crates/cassiarock-dispatch/src/entry/links.rs
+++ b/crates/cassiarock-dispatch/src/entry/links.rs
@@ -109,7 +109,7 @@
     }
 
     pub(super) fn beat_entries(&mut self, now: Duration) {
-        if now < self.beat + timing::BEAT {
+        if now < self.beat + timing::HEARTBEAT_INTERVAL {
             return;
         }
         self.beat = now;
--- a/crates/cassiarock-dispatch/src/entry/report.rs
+++ b/crates/cassiarock-dispatch/src/entry/report.rs
@@ -20,7 +20,7 @@
                         let _ = caller.send(answer);
                     }
                 }
-                Action::Tell(decision) => tell(&decision),
+                Action::Log(decision) => tell(&decision),
                 Action::Measure(stage, route, took) => {
                     let name = match stage {
                         Stage::Queue => "cassiarock_queue_seconds",
--- a/crates/cassiarock-dispatch/src/links.rs
+++ b/crates/cassiarock-dispatch/src/links.rs
@@ -28,7 +28,7 @@
 /// The tempo of links that carry tasks of a tenth of a second.
 pub(crate) const fn tempo() -> Tempo {
     Tempo {
-        silence: timing::SILENCE,
+        silence: timing::LINK_TIMEOUT,
         connect: CONNECT,
         handshake: HANDSHAKE,
         pause: PAUSE,
--- a/crates/cassiarock-lab/src/lib.rs
+++ b/crates/cassiarock-lab/src/lib.rs
@@ -19,14 +19,14 @@
 pub use figures::{Figures, Kind, Seed};
 pub use scenario::Scenario;
 
-use cassiarock_transient::scheduler::Switch;
+use cassiarock_transient::scheduler::Mechanisms;
 use rayon::prelude::*;
 
 /// Plays each seed of the scenario with these mechanisms.
 ///
 /// ```
 /// use cassiarock_lab::{Scenario, play};
-/// use cassiarock_transient::scheduler::Switch;
+/// use cassiarock_transient::scheduler::Mechanisms;
 /// let text = r#"{
 ///     "length": "2s",
 ///     "entries": [{ "data_centre": "a" }],
@@ -35,17 +35,17 @@
 ///         "cores": { "mean": 6 }, "slack": 1.6, "target": "60ms" }],
 /// }"#;
 /// let scenario = Scenario::parse(text, "small.jsonc").map_err(std::io::Error::other)?;
-/// let figures = play(&scenario, Switch::default());
+/// let figures = play(&scenario, Mechanisms::default());
 /// assert!(figures.broken.is_empty());
 /// assert!(figures.in_time > 0.9);
 /// # std::io::Result::Ok(())
 /// ```
 #[must_use]
-pub fn play(scenario: &Scenario, switch: Switch) -> Figures {
+pub fn play(scenario: &Scenario, mechanisms: Mechanisms) -> Figures {
     let seeds: Vec<Seed> = scenario
         .seeds
         .par_iter()
-        .map(|seed| simulation::play(scenario, switch, *seed))
+        .map(|seed| simulation::play(scenario, mechanisms, *seed))
         .collect();
     Figures::new(seeds)
 }
--- a/crates/cassiarock-lab/src/simulation/entries.rs
+++ b/crates/cassiarock-lab/src/simulation/entries.rs
@@ -32,7 +32,9 @@
 
     fn scheduler(&self, number: usize, life: u64) -> Scheduler {
         let seed = self.seed ^ (life << 32) ^ number as u64;
-        let mut scheduler = Scheduler::new().with_switch(self.switch).with_seed(seed);
+        let mut scheduler = Scheduler::new()
+            .with_mechanisms(self.mechanisms)
+            .with_seed(seed);
         scheduler.evacuate(self.evacuations.clone());
         scheduler
     }
@@ -106,7 +108,7 @@
                     self.send(from, to, message);
                 }
                 Action::Answer(submission, answer) => self.answer(submission, answer),
-                Action::Tell(_) | Action::Measure(..) => {}
+                Action::Log(_) | Action::Measure(..) => {}
             }
         }
     }
--- a/crates/cassiarock-lab/src/simulation/mod.rs
+++ b/crates/cassiarock-lab/src/simulation/mod.rs
@@ -14,7 +14,7 @@
 use crate::upstream::Upstream;
 use agents::Agent;
 use cassiarock_id::{Name, Process};
-use cassiarock_transient::scheduler::Switch;
+use cassiarock_transient::scheduler::Mechanisms;
 use cassiarock_transient::{Message, evacuation};
 use entries::Entry;
 use rand::SeedableRng;
@@ -39,7 +39,7 @@
 /// A run in progress.
 struct Simulation<'a> {
     scenario: &'a Scenario,
-    switch: Switch,
+    mechanisms: Mechanisms,
     seed: u64,
     now: Duration,
     agenda: Agenda,
@@ -57,13 +57,13 @@
 }
 
 /// Plays one seed.
-pub(crate) fn play(scenario: &Scenario, switch: Switch, seed: u64) -> Seed {
+pub(crate) fn play(scenario: &Scenario, mechanisms: Mechanisms, seed: u64) -> Seed {
     let mut random = ChaCha12Rng::seed_from_u64(seed);
     let callers = callers(scenario, &mut random);
     let bound = crate::bound::bound(scenario, &callers);
     let mut simulation = Simulation {
         scenario,
-        switch,
+        mechanisms,
         seed,
         now: Duration::ZERO,
         agenda: Agenda::default(),
--- a/crates/cassiarock-operator/src/run/simulate.rs
+++ b/crates/cassiarock-operator/src/run/simulate.rs
@@ -2,7 +2,7 @@
 
 use crate::{Error, Exit, Report, Simulate};
 use cassiarock_lab::{Figures, Scenario, play};
-use cassiarock_transient::scheduler::Switch;
+use cassiarock_transient::scheduler::Mechanisms;
 use serde::Serialize;
 
 /// One scenario's figures.
@@ -19,14 +19,14 @@
     let scenarios = simulate.files.iter();
     let scenarios = scenarios.map(|file| Ok((file.display().to_string(), Scenario::load(file)?)));
     let scenarios: Vec<(String, Scenario)> = scenarios.collect::<Result<_, Error>>()?;
-    let switches = switches(simulate)?;
+    let variants = variants(simulate)?;
     let mut played = Vec::new();
     for (file, scenario) in &scenarios {
-        for (without, switch) in &switches {
+        for (without, mechanisms) in &variants {
             played.push(Played {
                 scenario: file.clone(),
                 without: *without,
-                figures: play(scenario, *switch),
+                figures: play(scenario, *mechanisms),
             });
         }
     }
@@ -43,22 +43,22 @@
 }
 
 /// What is played of each scenario: all mechanisms, and what is left out.
-fn switches(simulate: &Simulate) -> Result<Vec<(Option<&'static str>, Switch)>, Error> {
-    let whole = (None, Switch::default());
-    let without = |name| Switch::without(name).map(|switch| (Some(name), switch));
+fn variants(simulate: &Simulate) -> Result<Vec<(Option<&'static str>, Mechanisms)>, Error> {
+    let whole = (None, Mechanisms::default());
+    let without = |name| Mechanisms::without(name).map(|mechanisms| (Some(name), mechanisms));
     if simulate.ablate {
-        let each = Switch::names().filter_map(without);
+        let each = Mechanisms::names().filter_map(without);
         return Ok([whole].into_iter().chain(each).collect());
     }
     let Some(wanted) = &simulate.without else {
         return Ok(vec![whole]);
     };
-    let name = Switch::names().find(|name| name == wanted);
+    let name = Mechanisms::names().find(|name| name == wanted);
     let found = name.and_then(without).ok_or_else(|| Error::Input {
         input: "--without".to_owned(),
         reason: format!(
             "there is no mechanism {wanted:?}; name one of {}",
-            Switch::names().collect::<Vec<_>>().join(", ")
+            Mechanisms::names().collect::<Vec<_>>().join(", ")
         ),
     })?;
     Ok(vec![found])
--- a/crates/cassiarock-transient/src/host/entries.rs
+++ b/crates/cassiarock-transient/src/host/entries.rs
@@ -3,7 +3,7 @@
 use super::owner::Owner;
 use super::{Action, Host, millis};
 use crate::message::{Attempt, Ending, Message};
-use crate::timing::BEAT;
+use crate::timing::HEARTBEAT_INTERVAL;
 use cassiarock_id::Process;
 use std::time::Duration;
 
@@ -100,10 +100,13 @@
     pub(super) fn broadcast(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let linked = self.owners.iter().filter(|(_, owner)| owner.is_linked);
         let silent = |owner: &Owner| now.saturating_sub(owner.told);
-        if linked.clone().all(|(_, owner)| silent(owner) < BEAT) {
+        if linked
+            .clone()
+            .all(|(_, owner)| silent(owner) < HEARTBEAT_INTERVAL)
+        {
             return;
         }
-        let due = linked.filter(|(_, owner)| silent(owner) + EARLY >= BEAT);
+        let due = linked.filter(|(_, owner)| silent(owner) + EARLY >= HEARTBEAT_INTERVAL);
         let due: Vec<Process> = due.map(|(entry, _)| entry.clone()).collect();
         for entry in due {
             self.beat(&entry, now, actions);
--- a/crates/cassiarock-transient/src/host/lease.rs
+++ b/crates/cassiarock-transient/src/host/lease.rs
@@ -1,7 +1,7 @@
 //! The upstream's clock and how far its leases reach.
 
 use super::millis;
-use crate::timing::{LEASE, STOP};
+use crate::timing::{LEASE, STOP_MARGIN};
 use std::time::Duration;
 
 /// The upstream's clock may be this much slow.
@@ -64,7 +64,7 @@
 
     /// Whether everything on the upstream has ended for want of renewal.
     pub(super) fn has_lapsed(&self, now: Duration) -> bool {
-        self.clock(now, SLOWEST) > self.asked + millis(STOP)
+        self.clock(now, SLOWEST) > self.asked + millis(STOP_MARGIN)
     }
 
     /// The upstream's clock now, if it runs at this rate.
--- a/crates/cassiarock-transient/src/host/mod.rs
+++ b/crates/cassiarock-transient/src/host/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::Decision;
 use crate::message::Message;
-use crate::timing::BEAT;
+use crate::timing::HEARTBEAT_INTERVAL;
 use cassiarock_id::{Name, Process};
 use health::Health;
 use lease::Lease;
@@ -137,8 +137,8 @@
     #[must_use]
     pub fn wake(&self, now: Duration) -> Duration {
         let linked = self.owners.values().filter(|owner| owner.is_linked);
-        let next = linked.map(|owner| owner.told + BEAT).min();
-        let next = next.unwrap_or(now + BEAT);
+        let next = linked.map(|owner| owner.told + HEARTBEAT_INTERVAL).min();
+        let next = next.unwrap_or(now + HEARTBEAT_INTERVAL);
         self.offered_until().map_or(next, |until| next.min(until))
     }
 }
--- a/crates/cassiarock-transient/src/host/orders.rs
+++ b/crates/cassiarock-transient/src/host/orders.rs
@@ -4,7 +4,7 @@
 use super::run::{Answer, Phase, Run, Task};
 use super::{Action, Host};
 use crate::message::{Attempt, End, Ending, Order, Start};
-use crate::timing::CONTACT;
+use crate::timing::CONTACT_TIMEOUT;
 use crate::{Decision, Life};
 use cassiarock_id::Process;
 use std::time::Duration;
@@ -96,7 +96,7 @@
         now: Duration,
         actions: &mut Vec<Action>,
     ) -> Option<End> {
-        if age >= CONTACT {
+        if age >= CONTACT_TIMEOUT {
             return Some(End::Stale);
         }
         let Some(worker) = &self.worker else {
@@ -215,7 +215,7 @@
     /// Stops the tasks of entries that this agent no longer hears, or that no longer hear it:
     /// they will start the tasks elsewhere.
     pub(super) fn stop_abandoned(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let lost = |owner: &Owner| now.saturating_sub(owner.echo) >= CONTACT;
+        let lost = |owner: &Owner| now.saturating_sub(owner.echo) >= CONTACT_TIMEOUT;
         let abandoned: Vec<Task> = self
             .runs
             .iter()
--- a/crates/cassiarock-transient/src/host/owner.rs
+++ b/crates/cassiarock-transient/src/host/owner.rs
@@ -2,7 +2,7 @@
 
 use super::offer::Asked;
 use crate::message::Ending;
-use crate::timing::CONTACT;
+use crate::timing::CONTACT_TIMEOUT;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -48,6 +48,6 @@
     }
 
     pub(super) fn is_idle(&self, now: Duration) -> bool {
-        self.kept.is_empty() && now.saturating_sub(self.echo) >= CONTACT
+        self.kept.is_empty() && now.saturating_sub(self.echo) >= CONTACT_TIMEOUT
     }
 }
--- a/crates/cassiarock-transient/src/host/snapshots.rs
+++ b/crates/cassiarock-transient/src/host/snapshots.rs
@@ -23,7 +23,7 @@
 /// ... and the longest after several in a row: an upstream that is back is seen within it.
 const LONGEST_PAUSE: Duration = Duration::from_millis(160);
 
-/// How long ends are kept for an entry whose link has broken. After `RECLAIM` it no longer
+/// How long ends are kept for an entry whose link has broken. After `RECLAIM_DELAY` it no longer
 /// waits for them.
 const KEEP: Duration = Duration::from_secs(2);
 
--- a/crates/cassiarock-transient/src/scheduler/action.rs
+++ b/crates/cassiarock-transient/src/scheduler/action.rs
@@ -33,7 +33,7 @@
     /// Answer the caller of the job with this number.
     Answer(u64, Answer),
     /// A line for the log.
-    Tell(Decision),
+    Log(Decision),
     /// How long a stage of a job of this route took.
     Measure(Stage, Name, Duration),
 }
--- a/crates/cassiarock-transient/src/scheduler/admit.rs
+++ b/crates/cassiarock-transient/src/scheduler/admit.rs
@@ -74,7 +74,7 @@
                 .with("free_cpu", room)
                 .with("version", work.class.version)
         };
-        if end > work.due && self.switch.admission {
+        if end > work.due && self.mechanisms.admission {
             let answer = self.refused(AGAIN + wait, true);
             return Err((answer, line("refused").with("reason", "queue")));
         }
--- a/crates/cassiarock-transient/src/scheduler/agent.rs
+++ b/crates/cassiarock-transient/src/scheduler/agent.rs
@@ -2,7 +2,7 @@
 
 use crate::Demand;
 use crate::message::{Load, Upstream};
-use crate::timing::{QUIET, RECLAIM};
+use crate::timing::{QUIET_TIMEOUT, RECLAIM_DELAY};
 use cassiarock_id::Name;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -104,7 +104,7 @@
         self.is_linked
             && !self.is_evacuated
             && self.clock > 0
-            && now.saturating_sub(self.heard) < QUIET
+            && now.saturating_sub(self.heard) < QUIET_TIMEOUT
             && self
                 .upstream
                 .as_ref()
@@ -113,7 +113,7 @@
 
     /// Whether its tasks must have ended: it has not been heard for too long.
     pub(super) fn is_lost(&self, now: Duration) -> bool {
-        now.saturating_sub(self.heard) >= RECLAIM
+        now.saturating_sub(self.heard) >= RECLAIM_DELAY
     }
 
     /// How long its tasks run in terms of the median upstream.
--- a/crates/cassiarock-transient/src/scheduler/ask.rs
+++ b/crates/cassiarock-transient/src/scheduler/ask.rs
@@ -38,7 +38,7 @@
 impl Scheduler {
     /// The job that this entry would place next, if it had room.
     pub(super) fn next(&self, now: Duration) -> Option<Next<'_>> {
-        if !self.switch.asking {
+        if !self.mechanisms.asking {
             return None;
         }
         let rank = self.queue.first()?;
--- a/crates/cassiarock-transient/src/scheduler/choose.rs
+++ b/crates/cassiarock-transient/src/scheduler/choose.rs
@@ -52,15 +52,15 @@
             let pace = agent.pace(self.median);
             let expected = work.expected[stage].mul_f64(pace);
             let would_be_late = now + expected > work.due;
-            if self.switch.moving
+            if self.mechanisms.moving
                 && pace > SLOW
                 && would_be_late
                 && now < work.latest() + work.chain
             {
                 return None;
             }
-            let avoided = self.switch.avoidance && task.avoid.contains(process);
-            let together = if self.switch.together && starts.contains_key(process) {
+            let avoided = self.mechanisms.avoidance && task.avoid.contains(process);
+            let together = if self.mechanisms.together && starts.contains_key(process) {
                 TOGETHER
             } else {
                 0.0
--- a/crates/cassiarock-transient/src/scheduler/eject.rs
+++ b/crates/cassiarock-transient/src/scheduler/eject.rs
@@ -27,7 +27,7 @@
     /// seconds, so an upstream that gets no work for that long is tried anew.
     pub(super) fn judge(&mut self) {
         self.median = self.median_pace();
-        let bound = if self.switch.ejection {
+        let bound = if self.mechanisms.ejection {
             self.agents.len() / EJECTED
         } else {
             0
--- a/crates/cassiarock-transient/src/scheduler/expire.rs
+++ b/crates/cassiarock-transient/src/scheduler/expire.rs
@@ -34,7 +34,7 @@
     /// than room: one that has not run is refused at once if others wait that can still be on
     /// time, and comes after them otherwise.
     pub(super) fn pass_over(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if !self.switch.expiry {
+        if !self.mechanisms.expiry {
             return;
         }
         let queue = self.queue.iter().take_while(|rank| !rank.is_late);
@@ -43,7 +43,7 @@
             .map(|rank| rank.number)
             .filter(|number| {
                 let work = self.works.get(number);
-                work.is_none_or(|work| !(self.switch.kept_rank && work.is_worth_ending(now)))
+                work.is_none_or(|work| !(self.mechanisms.kept_rank && work.is_worth_ending(now)))
             })
             .collect();
         let others = self.queue.len() - passed.len();
@@ -75,7 +75,7 @@
             let line = told("refused", &work, now)
                 .with("reason", reason)
                 .with("kept_free_percent", kept_free.round());
-            actions.push(Action::Tell(line.with("queue", queue).failed()));
+            actions.push(Action::Log(line.with("queue", queue).failed()));
             actions.push(Action::Answer(number, self.refused(AGAIN, true)));
         }
     }
--- a/crates/cassiarock-transient/src/scheduler/link.rs
+++ b/crates/cassiarock-transient/src/scheduler/link.rs
@@ -3,7 +3,7 @@
 use super::agent::Agent;
 use super::{Action, Scheduler};
 use crate::message::{Ask, Message, Order};
-use crate::timing::BEAT;
+use crate::timing::HEARTBEAT_INTERVAL;
 use crate::{Decision, evacuation};
 use cassiarock_id::{Name, Process};
 use std::collections::BTreeMap;
@@ -68,7 +68,7 @@
                         .with("leaving", upstream.is_leaving),
                     None => told.with("upstream", "none"),
                 };
-                actions.push(Action::Tell(told));
+                actions.push(Action::Log(told));
                 if let Some(upstream) = &upstream {
                     self.kinds.add(upstream);
                 }
@@ -103,7 +103,8 @@
     pub(super) fn heartbeat(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let next = self.next(now);
         let agents = self.agents.iter();
-        let due = agents.filter(|(_, agent)| agent.is_linked && now >= agent.echoed + BEAT);
+        let due =
+            agents.filter(|(_, agent)| agent.is_linked && now >= agent.echoed + HEARTBEAT_INTERVAL);
         let due: Vec<(Process, Option<Ask>)> = due
             .map(|(process, agent)| {
                 let ask = next.and_then(|next| next.ask_of(agent, now));
--- a/crates/cassiarock-transient/src/scheduler/lost.rs
+++ b/crates/cassiarock-transient/src/scheduler/lost.rs
@@ -95,7 +95,7 @@
             .with("reason", reason)
             .with("agent", from)
             .with("heard_ms_ago", now.saturating_sub(heard).as_millis());
-            actions.push(Action::Tell(line.failed()));
+            actions.push(Action::Log(line.failed()));
             self.requeue(attempt.number);
         }
         if let Some(agent) = self.agents.get_mut(from) {
--- a/crates/cassiarock-transient/src/scheduler/switch.rs
+++ b/crates/cassiarock-transient/src/scheduler/mechanisms.rs
@@ -2,7 +2,7 @@
 
 /// Which mechanisms decide. Processes run with all of them; simulations leave some out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Switch {
+pub struct Mechanisms {
     /// Refusing what the work before it would make late.
     pub admission: bool,
     /// Refusing what can no longer be on time, or placing it after all others.
@@ -32,25 +32,25 @@
 }
 
 /// The name of a mechanism and the field that it is.
-type Field = (&'static str, fn(&mut Switch) -> &mut bool);
+type Field = (&'static str, fn(&mut Mechanisms) -> &mut bool);
 
 const FIELDS: [Field; 13] = [
-    ("admission", |switch| &mut switch.admission),
-    ("expiry", |switch| &mut switch.expiry),
-    ("whole_starts", |switch| &mut switch.whole_starts),
-    ("kept_rank", |switch| &mut switch.kept_rank),
-    ("priority", |switch| &mut switch.priority),
-    ("reserve", |switch| &mut switch.reserve),
-    ("asking", |switch| &mut switch.asking),
-    ("waited_last", |switch| &mut switch.waited_last),
-    ("ejection", |switch| &mut switch.ejection),
-    ("moving", |switch| &mut switch.moving),
-    ("avoidance", |switch| &mut switch.avoidance),
-    ("together", |switch| &mut switch.together),
-    ("suspicion", |switch| &mut switch.suspicion),
+    ("admission", |mechanisms| &mut mechanisms.admission),
+    ("expiry", |mechanisms| &mut mechanisms.expiry),
+    ("whole_starts", |mechanisms| &mut mechanisms.whole_starts),
+    ("kept_rank", |mechanisms| &mut mechanisms.kept_rank),
+    ("priority", |mechanisms| &mut mechanisms.priority),
+    ("reserve", |mechanisms| &mut mechanisms.reserve),
+    ("asking", |mechanisms| &mut mechanisms.asking),
+    ("waited_last", |mechanisms| &mut mechanisms.waited_last),
+    ("ejection", |mechanisms| &mut mechanisms.ejection),
+    ("moving", |mechanisms| &mut mechanisms.moving),
+    ("avoidance", |mechanisms| &mut mechanisms.avoidance),
+    ("together", |mechanisms| &mut mechanisms.together),
+    ("suspicion", |mechanisms| &mut mechanisms.suspicion),
 ];
 
-impl Default for Switch {
+impl Default for Mechanisms {
     fn default() -> Self {
         Self {
             admission: true,
@@ -70,20 +70,20 @@
     }
 }
 
-impl Switch {
+impl Mechanisms {
     /// All mechanisms but the one with this name; none if there is no such mechanism.
     ///
     /// ```
-    /// use cassiarock_transient::scheduler::Switch;
-    /// assert!(!Switch::without("ejection").is_some_and(|switch| switch.ejection));
-    /// assert_eq!(Switch::without("luck"), None);
+    /// use cassiarock_transient::scheduler::Mechanisms;
+    /// assert!(!Mechanisms::without("ejection").is_some_and(|mechanisms| mechanisms.ejection));
+    /// assert_eq!(Mechanisms::without("luck"), None);
     /// ```
     #[must_use]
     pub fn without(name: &str) -> Option<Self> {
-        let mut switch = Self::default();
+        let mut mechanisms = Self::default();
         let (_, field) = FIELDS.iter().find(|(known, _)| *known == name)?;
-        *field(&mut switch) = false;
-        Some(switch)
+        *field(&mut mechanisms) = false;
+        Some(mechanisms)
     }
 
     /// The names of all mechanisms.
--- a/crates/cassiarock-transient/src/scheduler/mod.rs
+++ b/crates/cassiarock-transient/src/scheduler/mod.rs
@@ -12,6 +12,7 @@
 mod kinds;
 mod link;
 mod lost;
+mod mechanisms;
 mod patience;
 mod place;
 mod rank;
@@ -20,7 +21,6 @@
 mod reserve;
 mod settle;
 mod shift;
-mod switch;
 mod work;
 
 use crate::message::Message;
@@ -41,7 +41,7 @@
 use work::Work;
 
 pub use action::{Action, Answer, Stage};
-pub use switch::Switch;
+pub use mechanisms::Mechanisms;
 
 /// A process that was not run for this long may hold requests whose callers have left and
 /// submitted them elsewhere. It learns of that from its sockets first.
@@ -88,7 +88,7 @@
     /// Agents where tasks run that may crash upstreams.
     suspected: BTreeSet<Process>,
     /// Which mechanisms decide.
-    switch: Switch,
+    mechanisms: Mechanisms,
     chance: Chance,
     /// The job for which agents were last asked for room, and when.
     asked: Option<(u64, Duration)>,
@@ -109,8 +109,8 @@
 
     /// The same with these mechanisms only.
     #[must_use]
-    pub fn with_switch(self, switch: Switch) -> Self {
-        Self { switch, ..self }
+    pub fn with_mechanisms(self, mechanisms: Mechanisms) -> Self {
+        Self { mechanisms, ..self }
     }
 
     /// The same with chance from a seed.
@@ -189,9 +189,10 @@
         now: Duration,
     ) -> Vec<Action> {
         let ratio = self.ratios.of(&class.route);
-        let has_waited = self.switch.waited_last && self.patience.is_spent(&class.route, patience);
+        let has_waited =
+            self.mechanisms.waited_last && self.patience.is_spent(&class.route, patience);
         self.patience.learn(&class.route, patience);
-        let class = if self.switch.priority {
+        let class = if self.mechanisms.priority {
             class
         } else {
             Arc::new(Class {
@@ -207,13 +208,13 @@
             let told = told("failed", &work, now)
                 .with("reason", "a task of it crashes upstreams")
                 .with("crashed", crashed);
-            actions.push(Action::Tell(told.failed()));
+            actions.push(Action::Log(told.failed()));
             actions.push(Action::Answer(number, Answer::Failed));
             return actions;
         }
         match self.admit(&work, now) {
             Ok(told) => {
-                actions.push(Action::Tell(told));
+                actions.push(Action::Log(told));
                 self.queue.insert(work.rank());
                 self.works.insert(number, work);
                 self.is_stirred = true;
@@ -228,7 +229,7 @@
                 ) {
                     self.reserve.learn(work.class.priority, false);
                 }
-                actions.push(Action::Tell(told));
+                actions.push(Action::Log(told));
                 actions.push(Action::Answer(number, answer));
             }
         }
@@ -253,7 +254,7 @@
         let Some(work) = self.remove(number) else {
             return actions;
         };
-        actions.push(Action::Tell(
+        actions.push(Action::Log(
             told("abandoned", &work, now).with("reason", reason),
         ));
         self.halt_all(&work, &mut actions);
@@ -267,7 +268,7 @@
         if gap >= FROZEN && !self.polled.is_zero() {
             self.paused = now + THAW;
             let told = Decision::new("thawed", "", "").with("gap_ms", gap.as_millis());
-            actions.push(Action::Tell(told.failed()));
+            actions.push(Action::Log(told.failed()));
         }
         self.polled = now;
         if now >= self.checked + CHECK {
--- a/crates/cassiarock-transient/src/scheduler/place.rs
+++ b/crates/cassiarock-transient/src/scheduler/place.rs
@@ -60,7 +60,7 @@
     /// Whether a job may start of which nothing is placed, while another one `is_open` of which
     /// tasks found no room.
     fn may_start(&self, work: &Work, is_open: bool, now: Duration) -> bool {
-        let has_to_fit = is_open && self.switch.whole_starts;
+        let has_to_fit = is_open && self.mechanisms.whole_starts;
         self.leaves_room(work, now) && (!has_to_fit || self.fits_whole(work, now))
     }
 
@@ -68,7 +68,7 @@
     /// of its own, so that a system of a few tasks keeps none of them empty.
     fn leaves_room(&self, work: &Work, now: Duration) -> bool {
         let reserved = self.reserve.share(work.urgency(), now);
-        if reserved == 0.0 || !self.switch.reserve {
+        if reserved == 0.0 || !self.mechanisms.reserve {
             return true;
         }
         let agents = self.agents.values();
@@ -147,7 +147,7 @@
                 let route = work.class.route.clone();
                 actions.push(Action::Measure(super::Stage::Queue, route, took));
             }
-            actions.push(Action::Tell(self.placed_line(work, asked, &starts, now)));
+            actions.push(Action::Log(self.placed_line(work, asked, &starts, now)));
         }
         for (process, tasks) in starts {
             orders.entry(process).or_default().push(Order {
--- a/crates/cassiarock-transient/src/scheduler/settle.rs
+++ b/crates/cassiarock-transient/src/scheduler/settle.rs
@@ -89,13 +89,13 @@
             .with("lost_together", !is_suspect);
         if let Some(task) = work.present(from, &ending.attempt) {
             place_again(task, from, ending.end, now);
-            if is_suspect && self.switch.suspicion {
+            if is_suspect && self.mechanisms.suspicion {
                 task.turned = 0;
                 self.crashes.add(&id, &ending.attempt, task, from, now);
             }
             line = line.with("crashes", task.crashed.len());
         }
-        actions.push(Action::Tell(line.failed()));
+        actions.push(Action::Log(line.failed()));
         match work.crashed() {
             Some(_) => {
                 let reason = "a task of it crashes upstreams";
@@ -135,7 +135,7 @@
             let line = told("completed", &work, now)
                 .with("on_time", now <= work.due)
                 .with("retries", work.retries);
-            actions.push(Action::Tell(line));
+            actions.push(Action::Log(line));
             let took = now.saturating_sub(work.arrived);
             let route = work.class.route.clone();
             actions.push(Action::Measure(Stage::Answer, route, took));
@@ -163,7 +163,7 @@
             .with("retries", work.retries)
             .with("places", places(&work))
             .with("crashed", work.crashed().unwrap_or_default());
-        actions.push(Action::Tell(line.failed()));
+        actions.push(Action::Log(line.failed()));
         self.halt_all(&work, actions);
         actions.push(Action::Answer(number, answer));
     }
--- a/crates/cassiarock-transient/src/scheduler/shift.rs
+++ b/crates/cassiarock-transient/src/scheduler/shift.rs
@@ -20,7 +20,7 @@
     /// Moves tasks away from upstreams that keep them too long: the upstream has become slow,
     /// or what was started there stands still while its reports are good.
     pub(super) fn shift(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if !self.switch.moving {
+        if !self.mechanisms.moving {
             return;
         }
         let median = self.median;
@@ -72,7 +72,7 @@
             return;
         };
         let line = told("moved", work, now).with("agent", from);
-        actions.push(Action::Tell(
+        actions.push(Action::Log(
             line.with("reason", "it runs too long there").failed(),
         ));
         if let Some(task) = work.present(from, attempt) {
--- a/crates/cassiarock-transient/tests/host/lives.rs
+++ b/crates/cassiarock-transient/tests/host/lives.rs
@@ -4,7 +4,7 @@
 use cassiarock_transient::Message;
 use cassiarock_transient::host::{Action, Answer, Worker};
 use cassiarock_transient::message::End;
-use cassiarock_transient::timing::{CONTACT, LEASE};
+use cassiarock_transient::timing::{CONTACT_TIMEOUT, LEASE};
 
 fn running(world: &mut World) {
     world.order(1, "j", 1);
@@ -71,7 +71,7 @@
     running(&mut world);
     world.host.heard(&entry(1), world.now);
     world.host.unlink(&entry(1));
-    world.now += CONTACT - ms(10);
+    world.now += CONTACT_TIMEOUT - ms(10);
     world.poll();
     assert!(world.stops.is_empty(), "a reset connection costs nothing");
     world.now += ms(10);
@@ -90,7 +90,7 @@
         world.now += ms(10);
         world.host.heard(&entry(1), last);
         world.poll();
-        let is_over = world.now >= last + CONTACT;
+        let is_over = world.now >= last + CONTACT_TIMEOUT;
         assert_eq!(!world.stops.is_empty(), is_over, "at {:?}", world.now);
     }
 }
--- a/crates/cassiarock-transient/tests/host/orders.rs
+++ b/crates/cassiarock-transient/tests/host/orders.rs
@@ -4,7 +4,7 @@
 use cassiarock_transient::Message;
 use cassiarock_transient::host::{Action, Answer};
 use cassiarock_transient::message::End;
-use cassiarock_transient::timing::CONTACT;
+use cassiarock_transient::timing::CONTACT_TIMEOUT;
 
 #[test]
 fn a_task_that_ended_is_told_to_its_entry_with_the_room_left() {
@@ -36,7 +36,7 @@
 fn an_order_that_waited_while_the_agent_was_frozen_is_void() {
     let mut world = World::new();
     let before = world.now;
-    world.now += CONTACT;
+    world.now += CONTACT_TIMEOUT;
     world.order_after(1, "j", 1, before);
     assert!(world.starts.is_empty());
     assert_eq!(world.end_of(1), Some(End::Stale));
--- a/crates/cassiarock-transient/tests/host/polls.rs
+++ b/crates/cassiarock-transient/tests/host/polls.rs
@@ -5,7 +5,7 @@
 use cassiarock_transient::Message;
 use cassiarock_transient::host::{Action, pause};
 use cassiarock_transient::message::End;
-use cassiarock_transient::timing::{BEAT, LEASE, SILENCE};
+use cassiarock_transient::timing::{HEARTBEAT_INTERVAL, LEASE, LINK_TIMEOUT};
 
 // An upstream that runs nothing was polled as often as a busy one, 22 times a second: most of what
 // its agent spent.
@@ -28,7 +28,7 @@
     let idle = world.host.wait();
     let lost = world.host.wait() + ms(250);
     assert!(idle + lost < LEASE, "{idle:?} and {lost:?}");
-    assert!(idle < SILENCE);
+    assert!(idle < LINK_TIMEOUT);
 }
 
 // A new life of the agent does not know what still runs there.
@@ -54,7 +54,7 @@
     let (mut wakes, mut beats) = (0, 0);
     while world.now < end {
         let next = world.host.wake(world.now).max(world.now + ms(1));
-        assert!(next <= world.now + BEAT, "none is late");
+        assert!(next <= world.now + HEARTBEAT_INTERVAL, "none is late");
         world.now = next;
         let actions = world.host.poll(world.now);
         let sent = actions
--- a/crates/cassiarock-transient/tests/scheduler/losses.rs
+++ b/crates/cassiarock-transient/tests/scheduler/losses.rs
@@ -3,7 +3,7 @@
 use crate::world::{DATA_CENTRE, World, agent, ms};
 use cassiarock_transient::message::End;
 use cassiarock_transient::scheduler::Answer;
-use cassiarock_transient::timing::RECLAIM;
+use cassiarock_transient::timing::RECLAIM_DELAY;
 use cassiarock_transient::{Message, evacuation};
 
 // A task ran twice at once: its agent was cut off, the entry started it elsewhere at once,
@@ -20,10 +20,10 @@
         world.now += ms(10);
         world.beat_of(&other, crate::world::ROOM);
         world.poll();
-        assert!(world.now < heard + RECLAIM + ms(100));
+        assert!(world.now < heard + RECLAIM_DELAY + ms(100));
     }
     assert!(
-        world.now >= heard + RECLAIM,
+        world.now >= heard + RECLAIM_DELAY,
         "after {:?}",
         world.now - heard
     );
--- a/crates/cassiarock-transient/tests/scheduler/world.rs
+++ b/crates/cassiarock-transient/tests/scheduler/world.rs
@@ -196,7 +196,7 @@
                     let first = self.answers.insert(number, (answer, self.now));
                     assert_eq!(first, None, "job {number} is answered once");
                 }
-                Action::Send(..) | Action::Tell(_) | Action::Measure(..) => {}
+                Action::Send(..) | Action::Log(_) | Action::Measure(..) => {}
             }
         }
     }
