--- a/crates/cassiarock-dispatch/src/entry/report.rs
+++ b/crates/cassiarock-dispatch/src/entry/report.rs
@@ -4,7 +4,7 @@
 use crate::line::tell;
 use crate::links::send;
 use cassiarock_process::Evacuation;
-use cassiarock_transient::scheduler::{Action, Answer, Stage};
+use cassiarock_transient::scheduler::{Action, Answer, Latency};
 use std::time::Duration;
 
 impl Entry {
@@ -21,10 +21,10 @@
                     }
                 }
                 Action::Log(decision) => tell(&decision),
-                Action::Measure(stage, route, took) => {
-                    let name = match stage {
-                        Stage::Queue => "cassiarock_queue_seconds",
-                        Stage::Answer => "cassiarock_answer_seconds",
+                Action::Measure(latency, route, took) => {
+                    let name = match latency {
+                        Latency::Queue => "cassiarock_queue_seconds",
+                        Latency::Answer => "cassiarock_answer_seconds",
                     };
                     let route = route.to_string();
                     metrics::histogram!(name, "route" => route).record(took);
--- a/crates/cassiarock-transient/src/scheduler/action.rs
+++ b/crates/cassiarock-transient/src/scheduler/action.rs
@@ -19,7 +19,7 @@
     /// The job was not run, and nothing of it will be.
     Refused {
         /// When the caller should come back.
-        again: Duration,
+        retry_after: Duration,
         /// Whether the system has too much to do, rather than no upstream at all.
         is_overload: bool,
     },
@@ -35,12 +35,12 @@
     /// A line for the log.
     Log(Decision),
     /// How long a stage of a job of this route took.
-    Measure(Stage, Name, Duration),
+    Measure(Latency, Name, Duration),
 }
 
 /// A stage of a job's way, for metrics.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Stage {
+pub enum Latency {
     /// From its arrival until its first tasks were placed.
     Queue,
     /// From its arrival until it was completed.
--- a/crates/cassiarock-transient/src/scheduler/admit.rs
+++ b/crates/cassiarock-transient/src/scheduler/admit.rs
@@ -97,10 +97,10 @@
     }
 
     /// A refusal. The pause is spread over half as much again.
-    pub(super) fn refused(&self, again: Duration, is_overload: bool) -> Answer {
-        let spread = again.mul_f64(self.chance.below(0.5));
+    pub(super) fn refused(&self, retry_after: Duration, is_overload: bool) -> Answer {
+        let spread = retry_after.mul_f64(self.chance.below(0.5));
         Answer::Refused {
-            again: again + spread,
+            retry_after: retry_after + spread,
             is_overload,
         }
     }
--- a/crates/cassiarock-transient/src/scheduler/mod.rs
+++ b/crates/cassiarock-transient/src/scheduler/mod.rs
@@ -40,7 +40,7 @@
 use std::time::Duration;
 use work::Work;
 
-pub use action::{Action, Answer, Stage};
+pub use action::{Action, Answer, Latency};
 pub use mechanisms::Mechanisms;
 
 /// A process that was not run for this long may hold requests whose callers have left and
--- a/crates/cassiarock-transient/src/scheduler/place.rs
+++ b/crates/cassiarock-transient/src/scheduler/place.rs
@@ -145,7 +145,7 @@
                 work.was_placed = true;
                 let took = now.saturating_sub(work.arrived);
                 let route = work.class.route.clone();
-                actions.push(Action::Measure(super::Stage::Queue, route, took));
+                actions.push(Action::Measure(super::Latency::Queue, route, took));
             }
             actions.push(Action::Log(self.placed_line(work, asked, &starts, now)));
         }
--- a/crates/cassiarock-transient/src/scheduler/settle.rs
+++ b/crates/cassiarock-transient/src/scheduler/settle.rs
@@ -1,7 +1,7 @@
 //! What ends of attempts make of the jobs.
 
 use super::work::{Phase, Task, Work};
-use super::{Action, Answer, Scheduler, Stage, told};
+use super::{Action, Answer, Latency, Scheduler, told};
 use crate::message::{End, Ending};
 use cassiarock_id::Process;
 use std::time::Duration;
@@ -138,7 +138,7 @@
             actions.push(Action::Log(line));
             let took = now.saturating_sub(work.arrived);
             let route = work.class.route.clone();
-            actions.push(Action::Measure(Stage::Answer, route, took));
+            actions.push(Action::Measure(Latency::Answer, route, took));
             actions.push(Action::Answer(number, Answer::Completed));
         }
     }
--- a/crates/cassiarock-transient/tests/scheduler/answers.rs
+++ b/crates/cassiarock-transient/tests/scheduler/answers.rs
@@ -156,7 +156,7 @@
     world.submit(1, 1, 50, 2_000);
     let answer = world.answer(1);
     assert!(
-        matches!(answer, Some(Answer::Refused { is_overload: false, again }) if again >= ms(1_000)),
+        matches!(answer, Some(Answer::Refused { is_overload: false, retry_after }) if retry_after >= ms(1_000)),
         "{answer:?}"
     );
 }
