--- a/crates/cassiarock-lab/src/caller.rs
+++ b/crates/cassiarock-lab/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::draw;
 use crate::scenario::{Kind, Scenario, What};
-use cassiarock_transient::{Class, Demand, Job, Stage};
+use cassiarock_transient::{Class, Job, Resources, Stage};
 use rand::RngExt;
 use rand_chacha::ChaCha12Rng;
 use std::sync::Arc;
@@ -132,7 +132,7 @@
             spec: "".into(),
             stages: vec![Stage {
                 tasks,
-                demand: Demand::new((cores * 1000.0) as u64, kind.memory_mib, 0),
+                demand: Resources::new((cores * 1000.0) as u64, kind.memory_mib, 0),
                 estimate: typical.mul_f64(draw::off(kind.estimate_off, random)),
                 ..Stage::default()
             }],
--- a/crates/cassiarock-lab/src/simulation/mod.rs
+++ b/crates/cassiarock-lab/src/simulation/mod.rs
@@ -244,8 +244,8 @@
     }
 }
 
-fn room(cores: f64, memory_mib: u64) -> cassiarock_transient::Demand {
-    cassiarock_transient::Demand::new((cores * 1000.0) as u64, memory_mib, 0)
+fn room(cores: f64, memory_mib: u64) -> cassiarock_transient::Resources {
+    cassiarock_transient::Resources::new((cores * 1000.0) as u64, memory_mib, 0)
 }
 
 fn new_upstream(cores: f64, memory_mib: u64) -> Upstream {
--- a/crates/cassiarock-lab/src/upstream.rs
+++ b/crates/cassiarock-lab/src/upstream.rs
@@ -3,7 +3,7 @@
 use cassiarock_id::Name;
 use cassiarock_transient::host::{Answer, Named, Snapshot, Task};
 use cassiarock_transient::message::End;
-use cassiarock_transient::{Demand, Life};
+use cassiarock_transient::{Life, Resources};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) task: Task,
-    pub(crate) demand: Demand,
+    pub(crate) demand: Resources,
     pub(crate) since: Duration,
     /// How it is going to end.
     pub(crate) end: End,
@@ -20,7 +20,7 @@
 /// One upstream in one life.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
-    pub(crate) capacity: Demand,
+    pub(crate) capacity: Resources,
     runs: BTreeMap<u64, Run>,
     ended: Vec<(u64, Task, End)>,
     ends: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Upstream {
-    pub(crate) const fn new(capacity: Demand) -> Self {
+    pub(crate) const fn new(capacity: Resources) -> Self {
         Self {
             capacity,
             runs: BTreeMap::new(),
@@ -41,8 +41,10 @@
     /// Starts a task if there is room. Gives the run's number.
     pub(crate) fn start(&mut self, run: Run) -> Result<u64, Answer> {
         let taken = self.runs.values();
-        let taken = taken.fold(Demand::default(), |sum, run| sum.plus(&run.demand));
-        if !run.demand.fits(&self.capacity.minus(&taken)) {
+        let taken = taken.fold(Resources::default(), |sum, run| {
+            sum.saturating_add(&run.demand)
+        });
+        if !run.demand.fits_in(&self.capacity.saturating_sub(&taken)) {
             return Err(Answer::Full);
         }
         self.started += 1;
--- a/crates/cassiarock-transient/src/host/offer.rs
+++ b/crates/cassiarock-transient/src/host/offer.rs
@@ -7,7 +7,7 @@
 
 use super::{Action, Host};
 use crate::message::Ask;
-use crate::{Decision, Demand};
+use crate::{Decision, Resources};
 use cassiarock_id::Process;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 pub(super) struct Offer {
     to: Process,
     until: Duration,
-    room: Demand,
+    room: Resources,
 }
 
 impl Offer {
@@ -54,15 +54,15 @@
         (is_late, is_unstarted, has_waited, urgency, self.at + left)
     }
 
-    fn fits(&self, free: &Demand, now: Duration) -> bool {
-        now < self.at + FRESH && self.ask.demand.fits(free)
+    fn fits(&self, free: &Resources, now: Duration) -> bool {
+        now < self.at + FRESH && self.ask.demand.fits_in(free)
     }
 
     /// The part of `free` that it can use.
-    fn room(&self, free: &Demand) -> Demand {
+    fn room(&self, free: &Resources) -> Resources {
         let Ask { demand, tasks, .. } = self.ask;
-        let tasks = free.holds(&demand).min(u64::from(tasks));
-        (0..tasks).fold(Demand::default(), |room, _| room.plus(&demand))
+        let tasks = free.count_of(&demand).min(u64::from(tasks));
+        (0..tasks).fold(Resources::default(), |room, _| room.saturating_add(&demand))
     }
 }
 
@@ -89,10 +89,10 @@
     }
 
     /// The room that `entry` may use: all that is free but for what is held for another.
-    pub(super) fn free_for(&self, entry: &Process, now: Duration) -> Demand {
+    pub(super) fn free_for(&self, entry: &Process, now: Duration) -> Resources {
         match &self.offer {
             Some(offer) if offer.is_open(now) && offer.to != *entry => {
-                self.free().minus(&offer.room)
+                self.free().saturating_sub(&offer.room)
             }
             _ => self.free(),
         }
--- a/crates/cassiarock-transient/src/host/orders.rs
+++ b/crates/cassiarock-transient/src/host/orders.rs
@@ -116,7 +116,7 @@
         if suspect.is_some_and(|suspect| self.runs.has_suspect(suspect)) {
             return Some(End::Refused);
         }
-        (!start.demand.fits(&self.free_for(entry, now))).then_some(End::Full)
+        (!start.demand.fits_in(&self.free_for(entry, now))).then_some(End::Full)
     }
 
     /// An entry no longer wants these.
--- a/crates/cassiarock-transient/src/host/run.rs
+++ b/crates/cassiarock-transient/src/host/run.rs
@@ -1,7 +1,7 @@
 //! The attempts on one upstream.
 
 use crate::message::{Attempt, End, Start};
-use crate::{Demand, Life};
+use crate::{Life, Resources};
 use cassiarock_id::{Name, Process};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -112,7 +112,7 @@
 pub struct Run {
     pub(super) owner: Process,
     pub(super) request: Name,
-    pub(super) demand: Demand,
+    pub(super) demand: Resources,
     pub(super) expected: Duration,
     /// With which others it must not run together, as one of them may crash the upstream.
     pub(super) suspect: Option<Name>,
@@ -168,7 +168,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Runs {
     runs: BTreeMap<Task, Run>,
-    taken: Demand,
+    taken: Resources,
 }
 
 impl Runs {
@@ -180,18 +180,18 @@
         self.runs.is_empty()
     }
 
-    pub(super) const fn taken(&self) -> Demand {
+    pub(super) const fn taken(&self) -> Resources {
         self.taken
     }
 
     pub(super) fn add(&mut self, task: Task, run: Run) {
-        self.taken = self.taken.plus(&run.demand);
+        self.taken = self.taken.saturating_add(&run.demand);
         self.runs.insert(task, run);
     }
 
     pub(super) fn remove(&mut self, task: &Task) -> Option<Run> {
         let run = self.runs.remove(task)?;
-        self.taken = self.taken.minus(&run.demand);
+        self.taken = self.taken.saturating_sub(&run.demand);
         Some(run)
     }
 
--- a/crates/cassiarock-transient/src/host/upstream.rs
+++ b/crates/cassiarock-transient/src/host/upstream.rs
@@ -3,7 +3,7 @@
 use super::run::{Run, Task};
 use super::{Action, Host};
 use crate::message::{End, Load, Message, Upstream};
-use crate::{Decision, Demand};
+use crate::{Decision, Resources};
 use cassiarock_id::Process;
 use std::time::Duration;
 
@@ -131,9 +131,11 @@
         if is_stalled { STALLED_PACE } else { 0 }
     }
 
-    pub(super) fn free(&self) -> Demand {
+    pub(super) fn free(&self) -> Resources {
         let capacity = self.worker.as_ref().map(|worker| worker.capacity);
-        capacity.unwrap_or_default().minus(&self.runs.taken())
+        capacity
+            .unwrap_or_default()
+            .saturating_sub(&self.runs.taken())
     }
 
     /// Whether new tasks may start on the upstream.
@@ -153,7 +155,7 @@
             free: if is_open {
                 self.free_for(entry, now)
             } else {
-                Demand::default()
+                Resources::default()
             },
             failing: self.health.failing(now),
             pace: self.health.pace().max(self.stalled(now)),
--- a/crates/cassiarock-transient/src/host/worker.rs
+++ b/crates/cassiarock-transient/src/host/worker.rs
@@ -1,7 +1,7 @@
 //! The upstream as its reports describe it.
 
 use crate::message::Upstream;
-use crate::{Demand, Life};
+use crate::{Life, Resources};
 use cassiarock_id::Name;
 
 /// Former lives that are remembered, so that a report that a broken network held up is not
@@ -18,7 +18,7 @@
     /// The pool that it belongs to.
     pub service: Name,
     /// All its room.
-    pub capacity: Demand,
+    pub capacity: Resources,
     /// Its kind, its rack and other labels.
     pub labels: Vec<Name>,
     /// Whether it takes no new work.
--- a/crates/cassiarock-transient/src/job.rs
+++ b/crates/cassiarock-transient/src/job.rs
@@ -1,6 +1,6 @@
 //! A transient job as its caller hands it in.
 
-use crate::Demand;
+use crate::Resources;
 use cassiarock_id::Name;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     /// How many tasks.
     pub tasks: u32,
     /// What each takes.
-    pub demand: Demand,
+    pub demand: Resources,
     /// The caller's rough estimate of a task's duration; off by 40% and more.
     pub estimate: Duration,
     /// The stages, by their place in the job, whose tasks must all be done first.
--- a/crates/cassiarock-transient/src/lib.rs
+++ b/crates/cassiarock-transient/src/lib.rs
@@ -1,7 +1,6 @@
 //! The decisions for transient jobs: admit, order, place, retry, stop; without I/O or clock.
 
 mod decision;
-mod demand;
 pub mod directory;
 pub mod evacuation;
 pub mod host;
@@ -9,16 +8,17 @@
 pub mod lag;
 mod life;
 pub mod message;
+mod resources;
 pub mod roster;
 pub mod scheduler;
 pub mod table;
 pub mod timing;
 
 pub use decision::Decision;
-pub use demand::Demand;
 pub use host::Host;
 pub use job::{Class, Job, Stage};
 pub use life::Life;
 pub use message::Message;
+pub use resources::Resources;
 pub use scheduler::Scheduler;
 pub use table::Table;
--- a/crates/cassiarock-transient/src/message.rs
+++ b/crates/cassiarock-transient/src/message.rs
@@ -1,6 +1,6 @@
 //! What entries and agents tell each other about transient jobs.
 
-use crate::{Demand, Life, directory, evacuation};
+use crate::{Life, Resources, directory, evacuation};
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
@@ -31,7 +31,7 @@
     /// The number of the task's start.
     pub attempt: u32,
     /// What it takes.
-    pub demand: Demand,
+    pub demand: Resources,
     /// How long it should run.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub expected: Duration,
@@ -70,7 +70,7 @@
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub left: Duration,
     /// What each task takes.
-    pub demand: Demand,
+    pub demand: Resources,
     /// How many tasks wait.
     pub tasks: u32,
 }
@@ -148,7 +148,7 @@
     /// The last orders of the receiving entry that are counted in.
     pub seen: u64,
     /// Room for new tasks; nothing if the upstream is leaving.
-    pub free: Demand,
+    pub free: Resources,
     /// The share of its latest tasks that failed, in hundredths.
     pub failing: u8,
     /// How long its tasks run, in hundredths of what was expected of them.
@@ -172,7 +172,7 @@
     /// The pool that it belongs to.
     pub service: Name,
     /// All its room.
-    pub capacity: Demand,
+    pub capacity: Resources,
     /// Its kind, its rack and other labels.
     pub labels: Vec<Name>,
     /// Whether it takes no new work.
--- a/crates/cassiarock-transient/src/scheduler/admit.rs
+++ b/crates/cassiarock-transient/src/scheduler/admit.rs
@@ -6,7 +6,7 @@
 
 use super::work::{Phase, Work};
 use super::{Answer, Scheduler, told};
-use crate::{Decision, Demand};
+use crate::{Decision, Resources};
 use std::time::Duration;
 
 /// The first pause that a refused caller is asked to make, and the most that chance adds to
@@ -37,7 +37,7 @@
         if open.is_empty() {
             return Err(self.without(line("refused").with("reason", "no upstream")));
         }
-        let fits = |demand: &Demand| open.iter().any(|agent| demand.fits(&agent.capacity()));
+        let fits = |demand: &Resources| open.iter().any(|agent| demand.fits_in(&agent.capacity()));
         if let Some(stage) = work.job.stages.iter().find(|stage| !fits(&stage.demand)) {
             let inputs = |line: Decision| {
                 line.with("cpu", stage.demand.cpu)
--- a/crates/cassiarock-transient/src/scheduler/agent.rs
+++ b/crates/cassiarock-transient/src/scheduler/agent.rs
@@ -1,6 +1,6 @@
 //! What an entry knows of an agent and its upstream.
 
-use crate::Demand;
+use crate::Resources;
 use crate::message::{Load, Upstream};
 use crate::timing::{QUIET_TIMEOUT, RECLAIM_DELAY};
 use cassiarock_id::Name;
@@ -23,7 +23,7 @@
     /// The number of the last orders sent.
     pub(super) serial: u64,
     /// What was ordered and may not be counted in the load yet.
-    sent: VecDeque<(u64, Demand)>,
+    sent: VecDeque<(u64, Resources)>,
     /// Tasks placed there that have not ended.
     pub(super) placed: usize,
     /// Whether it is kept out of placing for what its latest tasks showed.
@@ -33,7 +33,7 @@
     /// When it was last sent its own clock.
     pub(super) echoed: Duration,
     /// Room for new tasks: as told, less what is on its way.
-    free: Demand,
+    free: Resources,
 }
 
 impl Agent {
@@ -52,7 +52,7 @@
             is_ejected: false,
             is_offered: false,
             echoed: Duration::ZERO,
-            free: Demand::default(),
+            free: Resources::default(),
         }
     }
 
@@ -63,7 +63,7 @@
         self.serial = 0;
         self.sent.clear();
         self.load = Load::default();
-        self.free = Demand::default();
+        self.free = Resources::default();
     }
 
     pub(super) fn update(&mut self, load: Load) {
@@ -77,13 +77,13 @@
             self.sent.pop_front();
         }
         let sent = self.sent.iter();
-        self.free = sent.fold(load.free, |free, (_, demand)| free.minus(demand));
+        self.free = sent.fold(load.free, |free, (_, demand)| free.saturating_sub(demand));
     }
 
     /// Tasks of this demand go into the next orders.
-    pub(super) fn order(&mut self, demand: Demand) {
+    pub(super) fn order(&mut self, demand: Resources) {
         self.sent.push_back((self.serial + 1, demand));
-        self.free = self.free.minus(&demand);
+        self.free = self.free.saturating_sub(&demand);
         self.placed += 1;
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Room for new tasks: as told, less what is on its way.
-    pub(super) const fn free(&self) -> &Demand {
+    pub(super) const fn free(&self) -> &Resources {
         &self.free
     }
 
@@ -126,7 +126,7 @@
         upstream.is_some_and(|upstream| &*upstream.service == service)
     }
 
-    pub(super) fn capacity(&self) -> Demand {
+    pub(super) fn capacity(&self) -> Resources {
         let upstream = self.upstream.as_ref();
         upstream
             .map(|upstream| upstream.capacity)
--- a/crates/cassiarock-transient/src/scheduler/choose.rs
+++ b/crates/cassiarock-transient/src/scheduler/choose.rs
@@ -4,7 +4,7 @@
 use super::agent::Agent;
 use super::work::Work;
 use crate::message::Start;
-use crate::{Demand, Stage};
+use crate::{Resources, Stage};
 use cassiarock_id::Process;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -44,7 +44,7 @@
         let agents = self.agents.iter();
         // Room first: under load most agents have none, and all are asked for each task.
         let fit = agents.filter(|(process, agent)| {
-            wanted.demand.fits(agent.free())
+            wanted.demand.fits_in(agent.free())
                 && is_eligible(work, wanted, agent, now)
                 && has_spread(work, stage, wanted, process)
         });
@@ -70,7 +70,7 @@
             // not where one is.
             let has_suspect = self.suspected.contains(process);
             let order = if is_suspect {
-                let at_risk = agent.capacity().minus(agent.free()).cpu;
+                let at_risk = agent.capacity().saturating_sub(agent.free()).cpu;
                 (has_suspect, avoided, at_risk)
             } else {
                 (avoided, has_suspect, 0)
@@ -113,6 +113,6 @@
     pace * far * (1.0 + FULL * (1.0 - free) + chance) + failing
 }
 
-fn share(free: &Demand, capacity: &Demand) -> f64 {
+fn share(free: &Resources, capacity: &Resources) -> f64 {
     free.cpu as f64 / capacity.cpu.max(1) as f64
 }
--- a/crates/cassiarock-transient/src/scheduler/kinds.rs
+++ b/crates/cassiarock-transient/src/scheduler/kinds.rs
@@ -1,6 +1,6 @@
 //! The kinds of upstream that an entry has known.
 
-use crate::Demand;
+use crate::Resources;
 use crate::message::Upstream;
 use cassiarock_id::Name;
 
@@ -12,12 +12,12 @@
 /// job impossible because the upstreams that it fits are away: callers take that for a fault
 /// of their own and do not come back.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Kinds(Vec<(Name, Demand)>);
+pub(super) struct Kinds(Vec<(Name, Resources)>);
 
 impl Kinds {
     pub(super) fn add(&mut self, upstream: &Upstream) {
         let is_same =
-            |kind: &(Name, Demand)| kind.0 == upstream.service && kind.1 == upstream.capacity;
+            |kind: &(Name, Resources)| kind.0 == upstream.service && kind.1 == upstream.capacity;
         self.0.retain(|kind| !is_same(kind));
         if self.0.len() >= KINDS {
             self.0.remove(0);
@@ -26,8 +26,8 @@
     }
 
     /// Whether any upstream of the service ever had so much room.
-    pub(super) fn fit(&self, service: &str, demand: &Demand) -> bool {
+    pub(super) fn fit(&self, service: &str, demand: &Resources) -> bool {
         let mut kinds = self.0.iter().filter(|(of, _)| &**of == service);
-        kinds.any(|(_, room)| demand.fits(room))
+        kinds.any(|(_, room)| demand.fits_in(room))
     }
 }
--- a/crates/cassiarock-transient/src/scheduler/place.rs
+++ b/crates/cassiarock-transient/src/scheduler/place.rs
@@ -92,7 +92,7 @@
             let fit = agents.filter(|agent| is_eligible(work, wanted, agent, now));
             let most = u64::from(wanted.spread.unwrap_or(u32::MAX));
             let room: u64 = fit
-                .map(|agent| agent.free().holds(&wanted.demand).min(most))
+                .map(|agent| agent.free().count_of(&wanted.demand).min(most))
                 .sum();
             waiting.count() as u64 <= room
         })
--- a/crates/cassiarock-transient/tests/host/room.rs
+++ b/crates/cassiarock-transient/tests/host/room.rs
@@ -4,7 +4,7 @@
 use cassiarock_id::Process;
 use cassiarock_transient::host::Action;
 use cassiarock_transient::message::{Ask, End};
-use cassiarock_transient::{Demand, Message};
+use cassiarock_transient::{Message, Resources};
 
 /// The entries that are sent a heartbeat by these actions.
 fn told(actions: &[Action]) -> Vec<u64> {
@@ -70,7 +70,7 @@
         has_waited: false,
         urgency,
         left: ms(100),
-        demand: Demand::new(1_000, 64, 0),
+        demand: Resources::new(1_000, 64, 0),
         tasks: 1,
     }
 }
--- a/crates/cassiarock-transient/tests/host/world.rs
+++ b/crates/cassiarock-transient/tests/host/world.rs
@@ -3,7 +3,7 @@
 use cassiarock_id::Process;
 use cassiarock_transient::host::{Action, Answer, Named, Snapshot, Task, Worker};
 use cassiarock_transient::message::{Attempt, End, Ending, Load, Order, Start};
-use cassiarock_transient::{Demand, Host, Life, Message};
+use cassiarock_transient::{Host, Life, Message, Resources};
 use std::time::Duration;
 
 pub const fn ms(millis: u64) -> Duration {
@@ -62,7 +62,7 @@
     pub fn resize(&mut self, cpu: u64) {
         let known = self.host.worker().cloned().unwrap_or_default();
         let worker = Worker {
-            capacity: Demand::new(cpu, 1_000, 0),
+            capacity: Resources::new(cpu, 1_000, 0),
             sequence: known.sequence + 1,
             ..known
         };
@@ -76,7 +76,7 @@
             id: life.id.clone(),
             born: life.born,
             service: "s".into(),
-            capacity: Demand::new(10_000, 1_000, 0),
+            capacity: Resources::new(10_000, 1_000, 0),
             clock: self.clock(),
             sequence,
             ..Worker::default()
@@ -127,7 +127,7 @@
                 stage: 0,
                 index: 0,
                 attempt,
-                demand: Demand::new(1_000, 64, 0),
+                demand: Resources::new(1_000, 64, 0),
                 expected: ms(100),
                 suspect: self.suspect.clone(),
             }],
--- a/crates/cassiarock-transient/tests/scheduler/answers.rs
+++ b/crates/cassiarock-transient/tests/scheduler/answers.rs
@@ -120,7 +120,7 @@
         id: "u-large".into(),
         born: None,
         service: "s".into(),
-        capacity: cassiarock_transient::Demand::new(20_000, 2_000, 0),
+        capacity: cassiarock_transient::Resources::new(20_000, 2_000, 0),
         labels: vec![],
         is_leaving: false,
     };
--- a/crates/cassiarock-transient/tests/scheduler/ask.rs
+++ b/crates/cassiarock-transient/tests/scheduler/ask.rs
@@ -3,7 +3,7 @@
 use crate::world::{ROOM, World, agent, ms};
 use cassiarock_transient::message::{Load, Upstream};
 use cassiarock_transient::scheduler::Action;
-use cassiarock_transient::{Demand, Message};
+use cassiarock_transient::{Message, Resources};
 
 /// What agents are asked for, with nobody left out.
 fn asks(actions: &[Action]) -> Vec<u32> {
@@ -16,7 +16,7 @@
 }
 
 /// A heartbeat of an agent that holds room for this entry.
-fn offer(world: &World, free: Demand) -> Message {
+fn offer(world: &World, free: Resources) -> Message {
     Message::AgentBeat {
         clock: u64::try_from(world.now.as_millis()).unwrap(),
         load: Load {
--- a/crates/cassiarock-transient/tests/scheduler/order.rs
+++ b/crates/cassiarock-transient/tests/scheduler/order.rs
@@ -1,7 +1,7 @@
 //! Which jobs go first when there is too little room.
 
 use crate::world::{Placed, World, job, ms};
-use cassiarock_transient::Demand;
+use cassiarock_transient::Resources;
 use cassiarock_transient::message::End;
 use cassiarock_transient::scheduler::Answer;
 
@@ -31,7 +31,7 @@
         // Its second task takes more room than a single end leaves.
         let mut uneven = job(number, 1, 400);
         let mut large = uneven.stages[0].clone();
-        large.demand = Demand::new(2_000, 64, 0);
+        large.demand = Resources::new(2_000, 64, 0);
         uneven.stages.push(large);
         world.submit_job(number, uneven, 3_000);
     }
@@ -47,7 +47,7 @@
 fn a_job_that_fits_whole_goes_past_the_open_one() {
     let (mut world, running) = full();
     let mut wide = job(1, 1, 400);
-    wide.stages[0].demand = Demand::new(2_000, 64, 0);
+    wide.stages[0].demand = Resources::new(2_000, 64, 0);
     world.submit_job(1, wide, 3_000);
     world.submit(2, 1, 400, 3_000);
     world.end(running[0].attempt, End::Done);
--- a/crates/cassiarock-transient/tests/scheduler/world.rs
+++ b/crates/cassiarock-transient/tests/scheduler/world.rs
@@ -3,19 +3,19 @@
 use cassiarock_id::Process;
 use cassiarock_transient::message::{Attempt, End, Ending, Load, Order, Upstream};
 use cassiarock_transient::scheduler::{Action, Answer};
-use cassiarock_transient::{Class, Demand, Job, Message, Scheduler, Stage};
+use cassiarock_transient::{Class, Job, Message, Resources, Scheduler, Stage};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// The room of each upstream: ten tasks.
-pub const ROOM: Demand = Demand::new(10_000, 1_000, 0);
+pub const ROOM: Resources = Resources::new(10_000, 1_000, 0);
 
 /// Where agents are that no test puts elsewhere.
 pub const DATA_CENTRE: &str = "dc-1";
 
 /// What each task takes.
-pub const TASK: Demand = Demand::new(1_000, 64, 0);
+pub const TASK: Resources = Resources::new(1_000, 64, 0);
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -94,7 +94,7 @@
     }
 
     /// A heartbeat of one agent, with so much room besides what this entry has placed.
-    pub fn beat_of(&mut self, agent: &Process, room: Demand) {
+    pub fn beat_of(&mut self, agent: &Process, room: Resources) {
         let load = self.load(agent, room);
         let message = Message::AgentBeat {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
@@ -103,11 +103,11 @@
         self.tell(agent, message);
     }
 
-    fn load(&self, agent: &Process, room: Demand) -> Load {
+    fn load(&self, agent: &Process, room: Resources) -> Load {
         let here = self.placed.iter().filter(|task| task.agent == *agent);
         Load {
             seen: self.seen.get(agent).copied().unwrap_or_default(),
-            free: here.fold(room, |free, _| free.minus(&TASK)),
+            free: here.fold(room, |free, _| free.saturating_sub(&TASK)),
             failing: 0,
             pace: 100,
             entries: 1,
@@ -248,7 +248,7 @@
     pub fn tell_full(&mut self) {
         let agents: Vec<Process> = self.scheduler.linked().cloned().collect();
         for agent in agents {
-            self.beat_of(&agent, Demand::default());
+            self.beat_of(&agent, Resources::default());
         }
     }
 
@@ -265,7 +265,7 @@
         let message = Message::Ended {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
             endings: vec![ending],
-            load: self.load(&task.agent, Demand::default()),
+            load: self.load(&task.agent, Resources::default()),
         };
         self.tell(&task.agent, message);
         self.poll();
