--- a/crates/cassiarock-dispatch/src/entry/mod.rs
+++ b/crates/cassiarock-dispatch/src/entry/mod.rs
@@ -15,7 +15,7 @@
 use cassiarock_transient::directory::Place;
 use cassiarock_transient::lag::Lag;
 use cassiarock_transient::scheduler::{Action, Answer};
-use cassiarock_transient::{Scheduler, Table, directory, evacuation};
+use cassiarock_transient::{RouteTable, Scheduler, directory, evacuation};
 use kameo::Actor;
 use kameo::message::{Context, Message as Handle};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -64,7 +64,7 @@
     pub(crate) lag: Lag,
     /// The client that follows the operators' configuration.
     pub(crate) store: Store,
-    pub(crate) table: watch::Sender<Option<Arc<Table>>>,
+    pub(crate) table: watch::Sender<Option<Arc<RouteTable>>>,
     pub(crate) status: watch::Sender<Status>,
     /// Where other entries take links, as they said.
     pub(crate) entries: BTreeSet<Place>,
--- a/crates/cassiarock-dispatch/src/run/entry.rs
+++ b/crates/cassiarock-dispatch/src/run/entry.rs
@@ -16,7 +16,7 @@
 use cassiarock_transient::directory::Place;
 use cassiarock_transient::lag::Lag;
 use cassiarock_transient::roster::{PEERS, Roster};
-use cassiarock_transient::{Scheduler, Table};
+use cassiarock_transient::{RouteTable, Scheduler};
 use cassiarock_wire::Role;
 use kameo::actor::Spawn;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -181,7 +181,7 @@
 
 fn new(
     mesh: Mesh,
-    table: watch::Sender<Option<Arc<Table>>>,
+    table: watch::Sender<Option<Arc<RouteTable>>>,
     status: watch::Sender<Status>,
     store: Store,
 ) -> Entry {
--- a/crates/cassiarock-lab/src/caller.rs
+++ b/crates/cassiarock-lab/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::draw;
 use crate::scenario::{Kind, Scenario, What};
-use cassiarock_transient::{Class, Job, Resources, Stage};
+use cassiarock_transient::{Job, JobClass, Resources, Stage};
 use rand::RngExt;
 use rand_chacha::ChaCha12Rng;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     pub(crate) kind: usize,
     pub(crate) entry: usize,
     pub(crate) job: Job,
-    pub(crate) class: Arc<Class>,
+    pub(crate) class: Arc<JobClass>,
     /// How long each task runs on an upstream of speed 1.
     pub(crate) runs: Vec<Duration>,
     /// Up to when an answer is in time, from `at`.
@@ -85,14 +85,14 @@
     bursts.map(|what| what.factor).product()
 }
 
-fn class(kind: &Kind) -> Class {
-    Class {
+fn class(kind: &Kind) -> JobClass {
+    JobClass {
         route: kind.name.clone(),
         service: "s".into(),
         priority: kind.priority,
-        attempts: kind.attempts,
-        slack: kind.slack,
-        target: kind.target,
+        max_attempts: kind.attempts,
+        slack_factor: kind.slack,
+        target_latency: kind.target,
         version: 1,
     }
 }
@@ -100,7 +100,7 @@
 fn caller(
     scenario: &Scenario,
     number: usize,
-    class: &Arc<Class>,
+    class: &Arc<JobClass>,
     at: f64,
     random: &mut ChaCha12Rng,
 ) -> Caller {
@@ -131,7 +131,7 @@
             request: "".into(),
             spec: "".into(),
             stages: vec![Stage {
-                tasks,
+                task_count: tasks,
                 demand: Resources::new((cores * 1000.0) as u64, kind.memory_mib, 0),
                 estimate: typical.mul_f64(draw::off(kind.estimate_off, random)),
                 ..Stage::default()
--- a/crates/cassiarock-transient/src/job.rs
+++ b/crates/cassiarock-transient/src/job.rs
@@ -8,19 +8,19 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Stage {
     /// How many tasks.
-    pub tasks: u32,
+    pub task_count: u32,
     /// What each takes.
     pub demand: Resources,
     /// The caller's rough estimate of a task's duration; off by 40% and more.
     pub estimate: Duration,
     /// The stages, by their place in the job, whose tasks must all be done first.
-    pub after: Vec<usize>,
+    pub dependencies: Vec<usize>,
     /// A label that the upstream must have.
     pub label: Option<Name>,
     /// The rack where the data lies: the tasks run longer on others.
     pub rack: Option<Name>,
     /// At most this many tasks of the stage at a time on one upstream.
-    pub spread: Option<u32>,
+    pub max_per_upstream: Option<u32>,
 }
 
 /// A job: all its tasks have to be done.
@@ -42,20 +42,24 @@
     /// ```
     /// use cassiarock_transient::{Job, Stage};
     /// use std::time::Duration;
-    /// let stage = |ms, after| Stage { tasks: 1, estimate: Duration::from_millis(ms), after, ..Stage::default() };
+    /// let stage = |ms, dependencies| Stage { task_count: 1, estimate: Duration::from_millis(ms), dependencies, ..Stage::default() };
     /// let job = Job {
     ///     id: "5c0e".into(),
     ///     request: "r-1".into(),
     ///     spec: "".into(),
     ///     stages: vec![stage(60, vec![]), stage(100, vec![]), stage(30, vec![0])],
     /// };
-    /// assert_eq!(job.chain(), Duration::from_millis(100));
+    /// assert_eq!(job.critical_path(), Duration::from_millis(100));
     /// ```
     #[must_use]
-    pub fn chain(&self) -> Duration {
+    pub fn critical_path(&self) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.stages.len());
         for stage in &self.stages {
-            let before = stage.after.iter().filter_map(|at| ends.get(*at)).max();
+            let before = stage
+                .dependencies
+                .iter()
+                .filter_map(|at| ends.get(*at))
+                .max();
             ends.push(before.copied().unwrap_or_default() + stage.estimate);
         }
         ends.into_iter().max().unwrap_or_default()
@@ -63,14 +67,14 @@
 
     /// How many tasks it has.
     #[must_use]
-    pub fn tasks(&self) -> u32 {
-        self.stages.iter().map(|stage| stage.tasks).sum()
+    pub fn task_count(&self) -> u32 {
+        self.stages.iter().map(|stage| stage.task_count).sum()
     }
 }
 
 /// How jobs of one route are to be treated: from the configuration in force.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct JobClass {
     /// The route's name.
     pub route: Name,
     /// The pool of upstreams that may run its tasks.
@@ -78,11 +82,11 @@
     /// How urgent its jobs are; 0 goes first.
     pub priority: u32,
     /// How often a task may fail before its job has failed.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// A job is on time up to this many times its longest chain of work, ...
-    pub slack: f64,
+    pub slack_factor: f64,
     /// ... and this much more.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// The version of the configuration that says so.
     pub version: u64,
 }
--- a/crates/cassiarock-transient/src/lib.rs
+++ b/crates/cassiarock-transient/src/lib.rs
@@ -16,9 +16,9 @@
 
 pub use decision::Decision;
 pub use host::Host;
-pub use job::{Class, Job, Stage};
+pub use job::{Job, JobClass, Stage};
 pub use life::Life;
 pub use message::Message;
 pub use resources::Resources;
 pub use scheduler::Scheduler;
-pub use table::Table;
+pub use table::RouteTable;
--- a/crates/cassiarock-transient/src/scheduler/admit.rs
+++ b/crates/cassiarock-transient/src/scheduler/admit.rs
@@ -120,6 +120,6 @@
 fn cpu(work: &Work) -> u64 {
     let stages = work.job.stages.iter();
     stages
-        .map(|stage| u64::from(stage.tasks) * stage.demand.cpu)
+        .map(|stage| u64::from(stage.task_count) * stage.demand.cpu)
         .sum()
 }
--- a/crates/cassiarock-transient/src/scheduler/choose.rs
+++ b/crates/cassiarock-transient/src/scheduler/choose.rs
@@ -93,7 +93,7 @@
 
 /// Whether the stage may have one more task on the agent.
 fn has_spread(work: &Work, stage: usize, wanted: &Stage, process: &Process) -> bool {
-    let Some(most) = wanted.spread else {
+    let Some(most) = wanted.max_per_upstream else {
         return true;
     };
     let tasks = work.tasks[stage].iter();
--- a/crates/cassiarock-transient/src/scheduler/mod.rs
+++ b/crates/cassiarock-transient/src/scheduler/mod.rs
@@ -24,7 +24,7 @@
 mod work;
 
 use crate::message::Message;
-use crate::{Class, Decision, Job, evacuation};
+use crate::{Decision, Job, JobClass, evacuation};
 use agent::Agent;
 use cassiarock_id::{Name, Process};
 use chance::Chance;
@@ -184,7 +184,7 @@
         &mut self,
         number: u64,
         job: Job,
-        class: Arc<Class>,
+        class: Arc<JobClass>,
         patience: Duration,
         now: Duration,
     ) -> Vec<Action> {
@@ -195,9 +195,9 @@
         let class = if self.mechanisms.priority {
             class
         } else {
-            Arc::new(Class {
+            Arc::new(JobClass {
                 priority: 0,
-                ..Class::clone(&class)
+                ..JobClass::clone(&class)
             })
         };
         self.reserve.arrive(class.priority, now);
@@ -325,7 +325,7 @@
         .with("age_ms", now.saturating_sub(work.arrived).as_millis())
         .with("left_ms", work.limit.saturating_sub(now).as_millis())
         .with("leaves_ms", work.leaves.saturating_sub(now).as_millis())
-        .with("tasks", work.job.tasks())
+        .with("tasks", work.job.task_count())
         .with("not_done", work.left)
         .with("has_waited", work.has_waited)
 }
--- a/crates/cassiarock-transient/src/scheduler/place.rs
+++ b/crates/cassiarock-transient/src/scheduler/place.rs
@@ -90,7 +90,7 @@
             let waiting = tasks.filter(|task| matches!(task.phase, Phase::Waiting(_)));
             let agents = self.agents.values();
             let fit = agents.filter(|agent| is_eligible(work, wanted, agent, now));
-            let most = u64::from(wanted.spread.unwrap_or(u32::MAX));
+            let most = u64::from(wanted.max_per_upstream.unwrap_or(u32::MAX));
             let room: u64 = fit
                 .map(|agent| agent.free().count_of(&wanted.demand).min(most))
                 .sum();
--- a/crates/cassiarock-transient/src/scheduler/settle.rs
+++ b/crates/cassiarock-transient/src/scheduler/settle.rs
@@ -35,7 +35,7 @@
             return;
         }
         work.has_run |= !ending.end.is_unrun();
-        let attempts = work.class.attempts.max(1);
+        let attempts = work.class.max_attempts.max(1);
         let Some(task) = work.present(from, &ending.attempt) else {
             return;
         };
--- a/crates/cassiarock-transient/src/scheduler/work.rs
+++ b/crates/cassiarock-transient/src/scheduler/work.rs
@@ -3,7 +3,7 @@
 use super::crash::{self, Crash};
 use super::rank::Rank;
 use crate::message::Attempt;
-use crate::{Class, Job};
+use crate::{Job, JobClass};
 use cassiarock_id::{Name, Process};
 use std::sync::Arc;
 use std::time::Duration;
@@ -87,7 +87,7 @@
 pub(super) struct Work {
     pub(super) number: u64,
     pub(super) job: Job,
-    pub(super) class: Arc<Class>,
+    pub(super) class: Arc<JobClass>,
     pub(super) arrived: Duration,
     /// Up to when it is on time.
     pub(super) due: Duration,
@@ -119,14 +119,14 @@
     pub(super) fn new(
         number: u64,
         job: Job,
-        class: Arc<Class>,
+        class: Arc<JobClass>,
         patience: Duration,
         ratio: f64,
         now: Duration,
     ) -> Self {
-        let chain = job.chain().mul_f64(ratio);
-        let objective = chain.mul_f64(class.slack) + class.target;
-        let tasks = |stage: &crate::Stage| vec![Task::new(); stage.tasks as usize];
+        let chain = job.critical_path().mul_f64(ratio);
+        let objective = chain.mul_f64(class.slack_factor) + class.target_latency;
+        let tasks = |stage: &crate::Stage| vec![Task::new(); stage.task_count as usize];
         Self {
             number,
             arrived: now,
@@ -144,7 +144,7 @@
             was_placed: false,
             is_late: false,
             has_run: false,
-            left: job.tasks(),
+            left: job.task_count(),
             retries: 0,
             job,
             class,
@@ -191,7 +191,7 @@
         }
         let tasks = self.tasks.iter().flatten();
         let waiting = tasks.filter(|task| matches!(task.phase, Phase::Waiting(_)));
-        now + self.chain <= self.due || waiting.count() as u32 * LATE_WORTH <= self.job.tasks()
+        now + self.chain <= self.due || waiting.count() as u32 * LATE_WORTH <= self.job.task_count()
     }
 
     /// Whether it cannot be done in time any more. What runs already is left to end: its
@@ -221,7 +221,7 @@
             let tasks = self.tasks.get(*at);
             tasks.is_some_and(|tasks| tasks.iter().all(|task| task.phase == Phase::Done))
         };
-        self.job.stages[stage].after.iter().all(is_done)
+        self.job.stages[stage].dependencies.iter().all(is_done)
     }
 
     /// The tasks that can be placed now.
--- a/crates/cassiarock-transient/src/table.rs
+++ b/crates/cassiarock-transient/src/table.rs
@@ -1,6 +1,6 @@
 //! The routes of one configuration.
 
-use crate::Class;
+use crate::JobClass;
 use cassiarock_id::Name;
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,36 +13,36 @@
     /// How the paths of its requests begin.
     pub prefix: Name,
     /// How its jobs are treated.
-    pub class: Arc<Class>,
+    pub class: Arc<JobClass>,
 }
 
-/// Limits on what callers send.
+/// RequestLimits on what callers send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Limits {
+pub struct RequestLimits {
     /// All headers together, in bytes.
-    pub headers: usize,
+    pub max_header_bytes: usize,
     /// A body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// How long the headers may take.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// How long a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// All routes of one version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Table {
+pub struct RouteTable {
     /// The version.
     pub version: u64,
     /// The limits.
-    pub limits: Limits,
+    pub limits: RequestLimits,
     routes: Vec<Route>,
 }
 
-impl Table {
+impl RouteTable {
     /// A table of `routes`, sorted so that the longest prefix is met first.
     #[must_use]
-    pub fn new(version: u64, limits: Limits, mut routes: Vec<Route>) -> Self {
+    pub fn new(version: u64, limits: RequestLimits, mut routes: Vec<Route>) -> Self {
         routes.sort_by(|a, b| {
             let longest = b.prefix.len().cmp(&a.prefix.len());
             a.host.cmp(&b.host).then(longest)
--- a/crates/cassiarock-transient/tests/scheduler/world.rs
+++ b/crates/cassiarock-transient/tests/scheduler/world.rs
@@ -3,7 +3,7 @@
 use cassiarock_id::Process;
 use cassiarock_transient::message::{Attempt, End, Ending, Load, Order, Upstream};
 use cassiarock_transient::scheduler::{Action, Answer};
-use cassiarock_transient::{Class, Job, Message, Resources, Scheduler, Stage};
+use cassiarock_transient::{Job, JobClass, Message, Resources, Scheduler, Stage};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -121,10 +121,10 @@
 
     /// Submits a job of a queue with this priority, of tasks of 400 ms.
     pub fn submit_of(&mut self, number: u64, tasks: u32, priority: u32) {
-        let class = Class {
+        let class = JobClass {
             priority,
             route: format!("r-{priority}").into(),
-            ..Class::clone(&class())
+            ..JobClass::clone(&class())
         };
         let job = job(number, tasks, 400);
         let class = Arc::new(class);
@@ -216,14 +216,14 @@
     Process::new(format!("agent-{number}"), 1)
 }
 
-pub fn class() -> Arc<Class> {
-    Arc::new(Class {
+pub fn class() -> Arc<JobClass> {
+    Arc::new(JobClass {
         route: "r".into(),
         service: "s".into(),
         priority: 0,
-        attempts: 2,
-        slack: 1.6,
-        target: ms(60),
+        max_attempts: 2,
+        slack_factor: 1.6,
+        target_latency: ms(60),
         version: 1,
     })
 }
@@ -234,7 +234,7 @@
         request: format!("r-{number}").into(),
         spec: "what to do".into(),
         stages: vec![Stage {
-            tasks,
+            task_count: tasks,
             demand: TASK,
             estimate: ms(estimate),
             ..Stage::default()
