--- a/crates/cassiarock-dispatch/src/agent.rs
+++ b/crates/cassiarock-dispatch/src/agent.rs
@@ -243,9 +243,9 @@
         if self.evacuations.adopt(state).is_none() {
             return Vec::new();
         }
-        let is_evacuated = self.evacuations.covers(&self.mesh.identity().data_centre);
+        let is_evacuated = self.evacuations.contains(&self.mesh.identity().data_centre);
         if is_evacuated != self.host.is_evacuated() {
-            log::info!(evacuated = is_evacuated, offset = state.next(), from:% = from, running = self.host.running(); "evacuation");
+            log::info!(evacuated = is_evacuated, offset = state.next_offset(), from:% = from, running = self.host.running(); "evacuation");
         }
         metrics::gauge!("cassiarock_evacuated").set(f64::from(u8::from(is_evacuated)));
         self.host.evacuate(is_evacuated)
--- a/crates/cassiarock-dispatch/src/entry/calls.rs
+++ b/crates/cassiarock-dispatch/src/entry/calls.rs
@@ -25,7 +25,7 @@
                 self.scheduler.abandon(number, "its caller left", now)
             }
             Call::Find(job, reply) => {
-                let number = self.scheduler.find(&job);
+                let number = self.scheduler.find_job(&job);
                 let state = number.map(|number| self.scheduler.is_started(number));
                 // The caller may have gone.
                 let _ = reply.send(state);
@@ -34,7 +34,7 @@
             Call::Cancel(job, reply) => self.cancel(&job, reply, now),
             Call::Pending(route, reply) => {
                 // The caller may have gone.
-                let _ = reply.send(self.scheduler.pending(&route));
+                let _ = reply.send(self.scheduler.unstarted_job_count(&route));
                 Vec::new()
             }
         }
@@ -46,7 +46,7 @@
         reply: oneshot::Sender<bool>,
         now: Duration,
     ) -> Vec<Action> {
-        let number = self.scheduler.find(job);
+        let number = self.scheduler.find_job(job);
         // The caller may have gone.
         let _ = reply.send(number.is_some());
         let Some(number) = number else {
--- a/crates/cassiarock-dispatch/src/entry/links.rs
+++ b/crates/cassiarock-dispatch/src/entry/links.rs
@@ -43,7 +43,7 @@
                 if self.links.close(&peer.process, serial) {
                     log::warn!(dependency:% = peer.process, role:? = peer.role; "link lost");
                     self.scheduler.unlink(&peer.process);
-                    self.lag.lose(&peer.process);
+                    self.lag.link_lost(&peer.process);
                     // Agents have its address; new ones are told of it again when it is back.
                     let place = Place::new(peer.address.clone(), peer.data_centre.clone());
                     self.entries.remove(&place);
@@ -57,7 +57,7 @@
         match (peer.role, message) {
             (Role::Entry, Message::EntryBeat { version, .. }) => {
                 let is_sending = self.store.is_receiving();
-                if version > self.version() && self.lag.is_to_ask(&peer.process, is_sending, now) {
+                if version > self.version() && self.lag.should_ask(&peer.process, is_sending, now) {
                     log::info!(dependency:% = peer.process, version = version, before = self.version(); "configuration asked for");
                     send(&self.links, &peer.process, Message::AskConfiguration);
                 }
@@ -85,7 +85,7 @@
                 self.evacuate(&state, "another entry");
                 Vec::new()
             }
-            (_, message) => self.scheduler.message(&peer.process, message, now),
+            (_, message) => self.scheduler.handle_message(&peer.process, message, now),
         }
     }
 
@@ -95,7 +95,7 @@
         if self.entries.len() < ENTRIES && self.entries.insert(place.clone()) {
             // Only the new one: the whole list to all agents would be 100 MB with 600 entries.
             let news = vec![place];
-            for agent in self.scheduler.linked() {
+            for agent in self.scheduler.linked_agents() {
                 send(&self.links, agent, Message::Entries(news.clone()));
             }
         }
@@ -140,7 +140,7 @@
         } else {
             update.clone()
         };
-        for agent in self.scheduler.linked() {
+        for agent in self.scheduler.linked_agents() {
             send(&self.links, agent, Message::Directory(news.clone()));
         }
     }
--- a/crates/cassiarock-dispatch/src/entry/mod.rs
+++ b/crates/cassiarock-dispatch/src/entry/mod.rs
@@ -13,7 +13,7 @@
 use cassiarock_peer::{Event, Links};
 use cassiarock_process::{Clock, Status};
 use cassiarock_transient::directory::Place;
-use cassiarock_transient::lag::Lag;
+use cassiarock_transient::lag::ConfigurationLag;
 use cassiarock_transient::scheduler::{Action, Answer};
 use cassiarock_transient::{RouteTable, Scheduler, directory, evacuation};
 use kameo::Actor;
@@ -61,7 +61,7 @@
     /// The configuration in force, to pass on.
     pub(crate) configuration: Option<Configuration>,
     /// How far the configuration in force is behind that of others.
-    pub(crate) lag: Lag,
+    pub(crate) lag: ConfigurationLag,
     /// The client that follows the operators' configuration.
     pub(crate) store: Store,
     pub(crate) table: watch::Sender<Option<Arc<RouteTable>>>,
@@ -90,7 +90,7 @@
         self.mesh.poll(now, |_| false);
         self.beat_entries(now);
         self.report(now);
-        Ok(self.scheduler.wake(now).saturating_sub(now))
+        Ok(self.scheduler.next_poll(now).saturating_sub(now))
     }
 }
 
--- a/crates/cassiarock-dispatch/src/entry/orders.rs
+++ b/crates/cassiarock-dispatch/src/entry/orders.rs
@@ -56,9 +56,9 @@
         }
         log::info!(version = table.version, before = self.version(), routes = table.len(), from = from; "configuration in force");
         metrics::gauge!("cassiarock_configuration_version").set(table.version as f64);
-        self.scheduler.adopt(table.version);
+        self.scheduler.set_version(table.version);
         self.configuration = Some(Configuration::new(table.version, text.clone()));
-        self.lag.adopt();
+        self.lag.reset();
         self.table.send_replace(Some(Arc::new(table)));
     }
 
@@ -85,7 +85,7 @@
         };
         let count = evacuations.data_centres().count();
         metrics::gauge!("cassiarock_data_centres_evacuated").set(count as f64);
-        self.scheduler.evacuate(evacuations);
+        self.scheduler.set_evacuations(evacuations);
         if change.is_empty() {
             return;
         }
@@ -97,7 +97,7 @@
             .iter()
             .map(|place| (place.clone(), Wall::now()));
         self.evacuated.extend(begun);
-        log::info!(begun:? = change.begun, ended:? = change.ended, offset = state.next(), from = from; "evacuations");
+        log::info!(begun:? = change.begun, ended:? = change.ended, offset = state.next_offset(), from = from; "evacuations");
         for link in self.links.all() {
             self.tell_evacuations(&link.peer.process);
         }
@@ -106,7 +106,7 @@
     /// Tells a peer which data centres are to be empty, if that is known here.
     pub(super) fn tell_evacuations(&self, peer: &Process) {
         let known = self.scheduler.evacuations();
-        if known.next() > 0 {
+        if known.next_offset() > 0 {
             send(&self.links, peer, Message::Evacuations(known.clone()));
         }
     }
--- a/crates/cassiarock-dispatch/src/entry/report.rs
+++ b/crates/cassiarock-dispatch/src/entry/report.rs
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn report(&self, now: Duration) {
-        let open = self.scheduler.open(now);
+        let open = self.scheduler.open_agent_count(now);
         let ready = self.configuration.is_some() && open > 0;
         let evacuated = self.evacuated.iter();
         let evacuations: Vec<Evacuation> = evacuated
@@ -44,7 +44,7 @@
                 tasks: self.scheduler.placed_in(data_centre),
             })
             .collect();
-        let (jobs, links, version) = (self.scheduler.jobs(), self.links.len(), self.version());
+        let (jobs, links, version) = (self.scheduler.job_count(), self.links.len(), self.version());
         metrics::gauge!("cassiarock_jobs").set(jobs as f64);
         metrics::gauge!("cassiarock_agents_open").set(open as f64);
         self.status.send_if_modified(|status| {
--- a/crates/cassiarock-dispatch/src/line.rs
+++ b/crates/cassiarock-dispatch/src/line.rs
@@ -33,7 +33,7 @@
 
 /// Writes the line of a decision and counts it.
 pub(crate) fn tell(decision: &Decision) {
-    metrics::counter!("cassiarock_decisions_total", "what" => decision.what).increment(1);
+    metrics::counter!("cassiarock_decisions_total", "what" => decision.kind).increment(1);
     let level = if decision.is_failure {
         Level::Warn
     } else {
@@ -47,7 +47,7 @@
         &Record::builder()
             .target(TARGET)
             .level(level)
-            .args(format_args!("{}", decision.what))
+            .args(format_args!("{}", decision.kind))
             .key_values(&pairs)
             .build(),
     );
--- a/crates/cassiarock-dispatch/src/operator.rs
+++ b/crates/cassiarock-dispatch/src/operator.rs
@@ -42,8 +42,8 @@
             }
             News::Record(offset, key, value) => match Order::decode(key, value) {
                 Some(Order::Configuration(text)) => self.configuration = Some(text),
-                Some(Order::Evacuate(place)) => self.evacuations.fold(offset, place, true),
-                Some(Order::Restore(place)) => self.evacuations.fold(offset, place, false),
+                Some(Order::Evacuate(place)) => self.evacuations.apply(offset, place, true),
+                Some(Order::Restore(place)) => self.evacuations.apply(offset, place, false),
                 None => {}
             },
             News::Read => {}
--- a/crates/cassiarock-dispatch/src/run/entry.rs
+++ b/crates/cassiarock-dispatch/src/run/entry.rs
@@ -14,7 +14,7 @@
     BACKLOG, Clock, Fault, Parts, Pump, Report, Stage, Status, forward, until,
 };
 use cassiarock_transient::directory::Place;
-use cassiarock_transient::lag::Lag;
+use cassiarock_transient::lag::ConfigurationLag;
 use cassiarock_transient::roster::{PEERS, Roster};
 use cassiarock_transient::{RouteTable, Scheduler};
 use cassiarock_wire::Role;
@@ -191,7 +191,7 @@
         links: Links::new(),
         callers: HashMap::new(),
         configuration: None,
-        lag: Lag::new(),
+        lag: ConfigurationLag::new(),
         store,
         table,
         status,
--- a/crates/cassiarock-lab/src/simulation/agents.rs
+++ b/crates/cassiarock-lab/src/simulation/agents.rs
@@ -89,7 +89,7 @@
         // It has said nothing yet, and has nobody to tell.
         let _ = agent
             .host
-            .evacuate(self.evacuations.covers(&agent.data_centre));
+            .evacuate(self.evacuations.contains(&agent.data_centre));
         agent.upstream = new_upstream(agent.cores, agent.memory_mib);
         agent.is_upstream_down = false;
         self.report_upstream(number);
--- a/crates/cassiarock-lab/src/simulation/callers.rs
+++ b/crates/cassiarock-lab/src/simulation/callers.rs
@@ -49,7 +49,7 @@
         let entry = self.callers[number].entry;
         let Some(submission) = self.entries[entry]
             .scheduler
-            .find(&self.callers[number].job.id)
+            .find_job(&self.callers[number].job.id)
         else {
             return;
         };
--- a/crates/cassiarock-lab/src/simulation/emptying.rs
+++ b/crates/cassiarock-lab/src/simulation/emptying.rs
@@ -12,13 +12,13 @@
         let on = self.scenario.disturbances.iter();
         let on = on.filter(|what| what.what == What::Emptied && what.is_on(at));
         let emptied = on.filter_map(|what| what.data_centre.clone());
-        self.evacuations = State::new(self.evacuations.next() + 1, emptied);
+        self.evacuations = State::new(self.evacuations.next_offset() + 1, emptied);
         for entry in &mut self.entries {
-            entry.scheduler.evacuate(self.evacuations.clone());
+            entry.scheduler.set_evacuations(self.evacuations.clone());
         }
         for number in 0..self.agents.len() {
             let agent = &mut self.agents[number];
-            let is_evacuated = self.evacuations.covers(&agent.data_centre);
+            let is_evacuated = self.evacuations.contains(&agent.data_centre);
             let actions = agent.host.evacuate(is_evacuated);
             self.carry_out_agent(number, actions);
         }
@@ -27,7 +27,7 @@
     /// Checks that an agent that orders a start is in no data centre that is being emptied.
     pub(super) fn check_evacuation(&mut self, number: usize) {
         let agent = &self.agents[number];
-        if self.evacuations.covers(&agent.data_centre) {
+        if self.evacuations.contains(&agent.data_centre) {
             let fault = format!("{} ordered a start while it is emptied", agent.process.name);
             self.promise.tell(fault);
         }
--- a/crates/cassiarock-lab/src/simulation/entries.rs
+++ b/crates/cassiarock-lab/src/simulation/entries.rs
@@ -35,7 +35,7 @@
         let mut scheduler = Scheduler::new()
             .with_mechanisms(self.mechanisms)
             .with_seed(seed);
-        scheduler.evacuate(self.evacuations.clone());
+        scheduler.set_evacuations(self.evacuations.clone());
         scheduler
     }
 
@@ -76,7 +76,7 @@
             return;
         }
         self.poll_entry(number);
-        let wake = self.entries[number].scheduler.wake(self.now);
+        let wake = self.entries[number].scheduler.next_poll(self.now);
         let wake = wake.max(self.now + Duration::from_millis(1));
         self.agenda.add(wake, Event::WakeEntry(number, life));
     }
@@ -84,7 +84,7 @@
     pub(super) fn poll_entry(&mut self, number: usize) {
         let actions = self.entries[number].scheduler.poll(self.now);
         self.carry_out_entry(number, actions);
-        let jobs = self.entries[number].scheduler.jobs();
+        let jobs = self.entries[number].scheduler.job_count();
         self.tally.queue = self.tally.queue.max(jobs);
     }
 
@@ -95,7 +95,7 @@
         }
         let actions = entry
             .scheduler
-            .message(&frame.from, frame.message, self.now);
+            .handle_message(&frame.from, frame.message, self.now);
         self.carry_out_entry(number, actions);
         self.poll_entry(number);
     }
--- a/crates/cassiarock-lab/src/simulation/mod.rs
+++ b/crates/cassiarock-lab/src/simulation/mod.rs
@@ -227,7 +227,7 @@
     /// Nothing is left over once all callers are gone.
     fn close(&mut self) {
         for entry in &self.entries {
-            let jobs = entry.scheduler.jobs();
+            let jobs = entry.scheduler.job_count();
             if jobs > 0 {
                 let fault = format!("{jobs} jobs are left at {}", entry.process.name);
                 self.promise.tell(fault);
--- a/crates/cassiarock-transient/src/decision.rs
+++ b/crates/cassiarock-transient/src/decision.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Decision {
     /// What was decided, in one word or two.
-    pub what: &'static str,
+    pub kind: &'static str,
     /// The caller's id of the request; empty if the decision is about no single one.
     pub request: Name,
     /// The job's id.
@@ -26,9 +26,9 @@
 
 impl Decision {
     /// A decision without inputs so far.
-    pub fn new(what: &'static str, request: impl Into<Name>, job: impl Into<Name>) -> Self {
+    pub fn new(kind: &'static str, request: impl Into<Name>, job: impl Into<Name>) -> Self {
         Self {
-            what,
+            kind,
             request: request.into(),
             job: job.into(),
             fields: Vec::new(),
--- a/crates/cassiarock-transient/src/evacuation.rs
+++ b/crates/cassiarock-transient/src/evacuation.rs
@@ -33,7 +33,7 @@
     /// ```
     /// use cassiarock_transient::evacuation::State;
     /// let state = State::new(7, ["dc-1".into()]);
-    /// assert!(state.covers("dc-1") && !state.covers("dc-2"));
+    /// assert!(state.contains("dc-1") && !state.contains("dc-2"));
     /// ```
     #[must_use]
     pub fn new(next: u64, data_centres: impl IntoIterator<Item = Name>) -> Self {
@@ -45,7 +45,7 @@
 
     /// Whether the data centre is to be empty.
     #[must_use]
-    pub fn covers(&self, data_centre: &str) -> bool {
+    pub fn contains(&self, data_centre: &str) -> bool {
         self.data_centres.contains(data_centre)
     }
 
@@ -56,7 +56,7 @@
 
     /// The offset before which records are folded in.
     #[must_use]
-    pub const fn next(&self) -> u64 {
+    pub const fn next_offset(&self) -> u64 {
         self.next
     }
 
@@ -65,11 +65,11 @@
     /// ```
     /// use cassiarock_transient::evacuation::State;
     /// let mut state = State::default();
-    /// state.fold(4, "dc-1".into(), true);
-    /// state.fold(4, "dc-1".into(), false);
-    /// assert!(state.covers("dc-1"));
+    /// state.apply(4, "dc-1".into(), true);
+    /// state.apply(4, "dc-1".into(), false);
+    /// assert!(state.contains("dc-1"));
     /// ```
-    pub fn fold(&mut self, offset: u64, data_centre: Name, is_evacuated: bool) {
+    pub fn apply(&mut self, offset: u64, data_centre: Name, is_evacuated: bool) {
         if offset < self.next {
             return;
         }
--- a/crates/cassiarock-transient/src/lag.rs
+++ b/crates/cassiarock-transient/src/lag.rs
@@ -26,24 +26,24 @@
 
 /// How far an entry is behind the others, and whom it has asked.
 #[derive(Clone, Debug, Default)]
-pub struct Lag {
+pub struct ConfigurationLag {
     /// Since when others have been known to be ahead.
     since: Option<Duration>,
     /// Who was asked, and when.
     asked: Option<(Process, Duration)>,
 }
 
-impl Lag {
+impl ConfigurationLag {
     /// An entry that is not behind.
     ///
     /// ```
-    /// use cassiarock_transient::lag::Lag;
+    /// use cassiarock_transient::lag::ConfigurationLag;
     /// use std::time::Duration;
-    /// let mut lag = Lag::new();
+    /// let mut lag = ConfigurationLag::new();
     /// let other = cassiarock_id::Process::new("entry-2", 1);
-    /// assert!(!lag.is_to_ask(&other, false, Duration::ZERO));
-    /// assert!(lag.is_to_ask(&other, false, Duration::from_millis(400)));
-    /// assert!(!lag.is_to_ask(&other, false, Duration::from_millis(500)));
+    /// assert!(!lag.should_ask(&other, false, Duration::ZERO));
+    /// assert!(lag.should_ask(&other, false, Duration::from_millis(400)));
+    /// assert!(!lag.should_ask(&other, false, Duration::from_millis(500)));
     /// ```
     #[must_use]
     pub fn new() -> Self {
@@ -52,7 +52,7 @@
 
     /// Another entry has a newer version. Answers whether to ask it for a copy now; not at once
     /// while the store `is_sending` one.
-    pub fn is_to_ask(&mut self, other: &Process, is_sending: bool, now: Duration) -> bool {
+    pub fn should_ask(&mut self, other: &Process, is_sending: bool, now: Duration) -> bool {
         let since = *self.since.get_or_insert(now);
         let is_asked = self.asked.as_ref().is_some_and(|(_, at)| now < *at + COPY);
         let patience = if is_sending { SENDING } else { STORE };
@@ -64,12 +64,12 @@
     }
 
     /// A version came, from wherever. If others are ahead still, their heartbeats say so.
-    pub fn adopt(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// The link to another entry is gone, and what was on its way.
-    pub fn lose(&mut self, other: &Process) {
+    pub fn link_lost(&mut self, other: &Process) {
         if self.asked.as_ref().is_some_and(|(asked, _)| asked == other) {
             self.asked = None;
         }
--- a/crates/cassiarock-transient/src/scheduler/link.rs
+++ b/crates/cassiarock-transient/src/scheduler/link.rs
@@ -15,7 +15,7 @@
         let known = self.agents.entry(agent.clone());
         let known = known.or_insert_with(|| Agent::new(data_centre.clone(), now));
         known.link(now);
-        known.is_evacuated = self.evacuations.covers(data_centre);
+        known.is_evacuated = self.evacuations.contains(data_centre);
     }
 
     /// Operators have begun to empty data centres, or have taken that back.
@@ -23,12 +23,12 @@
     /// ```
     /// use cassiarock_transient::{Scheduler, evacuation};
     /// let mut scheduler = Scheduler::new();
-    /// scheduler.evacuate(evacuation::State::new(7, ["dc-1".into()]));
-    /// assert!(scheduler.evacuations().covers("dc-1"));
+    /// scheduler.set_evacuations(evacuation::State::new(7, ["dc-1".into()]));
+    /// assert!(scheduler.evacuations().contains("dc-1"));
     /// ```
-    pub fn evacuate(&mut self, evacuations: evacuation::State) {
+    pub fn set_evacuations(&mut self, evacuations: evacuation::State) {
         for agent in self.agents.values_mut() {
-            agent.is_evacuated = evacuations.covers(&agent.data_centre);
+            agent.is_evacuated = evacuations.contains(&agent.data_centre);
         }
         self.evacuations = evacuations;
         self.is_stirred = true;
@@ -48,7 +48,12 @@
     }
 
     /// A message of an agent.
-    pub fn message(&mut self, from: &Process, message: Message, now: Duration) -> Vec<Action> {
+    pub fn handle_message(
+        &mut self,
+        from: &Process,
+        message: Message,
+        now: Duration,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         let Some(agent) = self.agents.get_mut(from) else {
             return actions;
--- a/crates/cassiarock-transient/src/scheduler/mod.rs
+++ b/crates/cassiarock-transient/src/scheduler/mod.rs
@@ -100,7 +100,7 @@
     /// A scheduler without agents.
     ///
     /// ```
-    /// assert_eq!(cassiarock_transient::Scheduler::new().jobs(), 0);
+    /// assert_eq!(cassiarock_transient::Scheduler::new().job_count(), 0);
     /// ```
     #[must_use]
     pub fn new() -> Self {
@@ -124,13 +124,13 @@
 
     /// Jobs without an answer.
     #[must_use]
-    pub fn jobs(&self) -> usize {
+    pub fn job_count(&self) -> usize {
         self.works.len()
     }
 
     /// Jobs of which nothing has started.
     #[must_use]
-    pub fn pending(&self, route: &str) -> usize {
+    pub fn unstarted_job_count(&self, route: &str) -> usize {
         let works = self.works.values();
         let unstarted = works.filter(|work| !work.may_have_run() && &*work.class.route == route);
         unstarted.count()
@@ -138,7 +138,7 @@
 
     /// Agents that can be given tasks.
     #[must_use]
-    pub fn open(&self, now: Duration) -> usize {
+    pub fn open_agent_count(&self, now: Duration) -> usize {
         let agents = self.agents.values();
         agents.filter(|agent| agent.is_open(now)).count()
     }
@@ -152,7 +152,7 @@
     }
 
     /// The linked agents.
-    pub fn linked(&self) -> impl Iterator<Item = &Process> {
+    pub fn linked_agents(&self) -> impl Iterator<Item = &Process> {
         let agents = self.agents.iter();
         agents
             .filter(|(_, agent)| agent.is_linked)
@@ -160,13 +160,13 @@
     }
 
     /// The version of the configuration in force, for heartbeats.
-    pub const fn adopt(&mut self, version: u64) {
+    pub const fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
     /// The number of the unanswered job with this id, if it is here.
     #[must_use]
-    pub fn find(&self, job: &str) -> Option<u64> {
+    pub fn find_job(&self, job: &str) -> Option<u64> {
         let mut works = self.works.values();
         let found = works.find(|work| &*work.job.id == job);
         found.map(|work| work.number)
@@ -290,7 +290,7 @@
 
     /// When [`Self::poll`] has to be called next.
     #[must_use]
-    pub fn wake(&self, now: Duration) -> Duration {
+    pub fn next_poll(&self, now: Duration) -> Duration {
         // What waits for a time is looked at with each check.
         (self.checked + CHECK).max(now)
     }
--- a/crates/cassiarock-transient/tests/evacuation.rs
+++ b/crates/cassiarock-transient/tests/evacuation.rs
@@ -10,7 +10,7 @@
 fn a_state_that_is_older_changes_nothing() {
     let mut state = State::new(9, []);
     assert_eq!(state.adopt(&State::new(8, ["dc-1".into()])), None);
-    assert!(!state.covers("dc-1"));
+    assert!(!state.contains("dc-1"));
 }
 
 #[test]
@@ -27,9 +27,9 @@
 #[test]
 fn a_record_that_a_snapshot_holds_already_may_come_again() {
     let mut state = State::new(4, ["dc-1".into()]);
-    state.fold(4, "dc-1".into(), true);
-    state.fold(5, "dc-1".into(), false);
-    assert!(!state.covers("dc-1"));
-    state.fold(4, "dc-1".into(), true);
-    assert!(!state.covers("dc-1"));
+    state.apply(4, "dc-1".into(), true);
+    state.apply(5, "dc-1".into(), false);
+    assert!(!state.contains("dc-1"));
+    state.apply(4, "dc-1".into(), true);
+    assert!(!state.contains("dc-1"));
 }
--- a/crates/cassiarock-transient/tests/lag.rs
+++ b/crates/cassiarock-transient/tests/lag.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use cassiarock_id::Process;
-use cassiarock_transient::lag::Lag;
+use cassiarock_transient::lag::ConfigurationLag;
 use std::time::Duration;
 
 const fn ms(millis: u64) -> Duration {
@@ -19,12 +19,12 @@
 // and 30 copies a second of 250 KB came over its link; callers were answered seconds late.
 #[test]
 fn an_entry_that_is_behind_asks_one_other_at_a_time() {
-    let mut lag = Lag::new();
+    let mut lag = ConfigurationLag::new();
     let mut asked = Vec::new();
     for beat in 0..10 {
         for other in 0..3 {
             let now = ms(beat * 100 + other * 7);
-            if lag.is_to_ask(&entry(other), false, now) {
+            if lag.should_ask(&entry(other), false, now) {
                 asked.push(now);
             }
         }
@@ -36,12 +36,12 @@
 // 2 Mbit/s it takes a second to come. Copies of others would only make it later.
 #[test]
 fn an_entry_asks_nobody_while_the_store_sends() {
-    let mut lag = Lag::new();
+    let mut lag = ConfigurationLag::new();
     for now in (0..1_000).step_by(100) {
-        assert!(!lag.is_to_ask(&entry(1), true, ms(now)));
+        assert!(!lag.should_ask(&entry(1), true, ms(now)));
     }
-    lag.adopt();
-    assert!(!lag.is_to_ask(&entry(1), false, ms(1_000)));
+    lag.reset();
+    assert!(!lag.should_ask(&entry(1), false, ms(1_000)));
 }
 
 // The store's connection went silent in the middle of a configuration, as connections do on this
@@ -49,28 +49,28 @@
 // until the read was given up, 23 s later; operators allow 2 s.
 #[test]
 fn an_entry_asks_another_if_what_the_store_sends_does_not_arrive() {
-    let mut lag = Lag::new();
-    assert!(!lag.is_to_ask(&entry(1), true, ms(0)));
-    assert!(!lag.is_to_ask(&entry(1), true, ms(900)));
-    assert!(lag.is_to_ask(&entry(1), true, ms(1_000)));
+    let mut lag = ConfigurationLag::new();
+    assert!(!lag.should_ask(&entry(1), true, ms(0)));
+    assert!(!lag.should_ask(&entry(1), true, ms(900)));
+    assert!(lag.should_ask(&entry(1), true, ms(1_000)));
 }
 
 #[test]
 fn an_answer_that_does_not_come_is_asked_of_another() {
-    let mut lag = Lag::new();
-    lag.is_to_ask(&entry(1), false, ms(0));
-    assert!(lag.is_to_ask(&entry(1), false, ms(300)));
-    assert!(!lag.is_to_ask(&entry(2), false, ms(1_200)));
-    assert!(lag.is_to_ask(&entry(2), false, ms(1_300)));
+    let mut lag = ConfigurationLag::new();
+    lag.should_ask(&entry(1), false, ms(0));
+    assert!(lag.should_ask(&entry(1), false, ms(300)));
+    assert!(!lag.should_ask(&entry(2), false, ms(1_200)));
+    assert!(lag.should_ask(&entry(2), false, ms(1_300)));
 }
 
 #[test]
 fn a_lost_link_ends_the_wait_for_its_copy() {
-    let mut lag = Lag::new();
-    lag.is_to_ask(&entry(1), false, ms(0));
-    assert!(lag.is_to_ask(&entry(1), false, ms(300)));
-    lag.lose(&entry(2));
-    assert!(!lag.is_to_ask(&entry(2), false, ms(400)));
-    lag.lose(&entry(1));
-    assert!(lag.is_to_ask(&entry(2), false, ms(500)));
+    let mut lag = ConfigurationLag::new();
+    lag.should_ask(&entry(1), false, ms(0));
+    assert!(lag.should_ask(&entry(1), false, ms(300)));
+    lag.link_lost(&entry(2));
+    assert!(!lag.should_ask(&entry(2), false, ms(400)));
+    lag.link_lost(&entry(1));
+    assert!(lag.should_ask(&entry(2), false, ms(500)));
 }
--- a/crates/cassiarock-transient/tests/scheduler/answers.rs
+++ b/crates/cassiarock-transient/tests/scheduler/answers.rs
@@ -166,7 +166,7 @@
     let mut world = World::new(1);
     world.submit(1, 3, 50, 2_000);
     let actions = world.scheduler.abandon(1, "its caller left", world.now);
-    assert_eq!(world.scheduler.jobs(), 0);
+    assert_eq!(world.scheduler.job_count(), 0);
     let halts = actions.iter().filter(|action| {
         matches!(action, cassiarock_transient::scheduler::Action::Send(_, cassiarock_transient::Message::Halt(attempts)) if attempts.len() == 3)
     });
--- a/crates/cassiarock-transient/tests/scheduler/ask.rs
+++ b/crates/cassiarock-transient/tests/scheduler/ask.rs
@@ -48,7 +48,9 @@
 fn an_entry_that_needs_no_room_passes_an_offer_at_once() {
     let mut world = World::new(2);
     let message = offer(&world, ROOM);
-    let mut actions = world.scheduler.message(&agent(0), message, world.now);
+    let mut actions = world
+        .scheduler
+        .handle_message(&agent(0), message, world.now);
     actions.extend(world.scheduler.poll(world.now));
     let passed = actions.iter().any(|action| {
         matches!(action, Action::Send(to, Message::EntryBeat { ask: None, .. }) if *to == agent(0))
--- a/crates/cassiarock-transient/tests/scheduler/burst.rs
+++ b/crates/cassiarock-transient/tests/scheduler/burst.rs
@@ -59,7 +59,7 @@
             _ => tally.other += 1,
         }
     }
-    assert_eq!(world.scheduler.jobs(), 0, "every caller is answered");
+    assert_eq!(world.scheduler.job_count(), 0, "every caller is answered");
     tally
 }
 
--- a/crates/cassiarock-transient/tests/scheduler/losses.rs
+++ b/crates/cassiarock-transient/tests/scheduler/losses.rs
@@ -188,11 +188,13 @@
     let mut world = World::new(1);
     world
         .scheduler
-        .evacuate(evacuation::State::new(3, [DATA_CENTRE.into()]));
-    assert_eq!(world.scheduler.open(world.now), 0);
+        .set_evacuations(evacuation::State::new(3, [DATA_CENTRE.into()]));
+    assert_eq!(world.scheduler.open_agent_count(world.now), 0);
     world.submit(1, 2, 100, 3_000);
     assert!(matches!(world.answer(1), Some(Answer::Refused { .. })));
-    world.scheduler.evacuate(evacuation::State::new(4, []));
+    world
+        .scheduler
+        .set_evacuations(evacuation::State::new(4, []));
     world.submit(2, 2, 100, 3_000);
     assert_eq!(world.placed.len(), 2);
 }
@@ -204,8 +206,8 @@
     let mut world = World::new(0);
     world
         .scheduler
-        .evacuate(evacuation::State::new(3, [DATA_CENTRE.into()]));
+        .set_evacuations(evacuation::State::new(3, [DATA_CENTRE.into()]));
     world.add(agent(1));
     world.beat();
-    assert_eq!(world.scheduler.open(world.now), 0);
+    assert_eq!(world.scheduler.open_agent_count(world.now), 0);
 }
--- a/crates/cassiarock-transient/tests/scheduler/world.rs
+++ b/crates/cassiarock-transient/tests/scheduler/world.rs
@@ -81,13 +81,13 @@
     }
 
     pub fn tell(&mut self, agent: &Process, message: Message) {
-        let actions = self.scheduler.message(agent, message, self.now);
+        let actions = self.scheduler.handle_message(agent, message, self.now);
         self.take(actions);
     }
 
     /// Heartbeats of all agents.
     pub fn beat(&mut self) {
-        let agents: Vec<Process> = self.scheduler.linked().cloned().collect();
+        let agents: Vec<Process> = self.scheduler.linked_agents().cloned().collect();
         for agent in agents {
             self.beat_of(&agent, ROOM);
         }
@@ -246,7 +246,7 @@
 impl World {
     /// All agents say that they have no room.
     pub fn tell_full(&mut self) {
-        let agents: Vec<Process> = self.scheduler.linked().cloned().collect();
+        let agents: Vec<Process> = self.scheduler.linked_agents().cloned().collect();
         for agent in agents {
             self.beat_of(&agent, Resources::default());
         }
