--- a/crates/cassiarock-dispatch/src/entry/report.rs
+++ b/crates/cassiarock-dispatch/src/entry/report.rs
@@ -4,7 +4,7 @@
 use crate::line::tell;
 use crate::links::send;
 use cassiarock_process::Evacuation;
-use cassiarock_transient::scheduler::{Action, Answer, Stage};
+use cassiarock_transient::scheduler::{Action, Answer, Latency};
 use std::time::Duration;
 
 impl Entry {
@@ -20,11 +20,11 @@
                         let _ = caller.send(answer);
                     }
                 }
-                Action::Tell(decision) => tell(&decision),
-                Action::Measure(stage, route, took) => {
-                    let name = match stage {
-                        Stage::Queue => "cassiarock_queue_seconds",
-                        Stage::Answer => "cassiarock_answer_seconds",
+                Action::Log(decision) => tell(&decision),
+                Action::Measure(latency, route, took) => {
+                    let name = match latency {
+                        Latency::Queue => "cassiarock_queue_seconds",
+                        Latency::Answer => "cassiarock_answer_seconds",
                     };
                     let route = route.to_string();
                     metrics::histogram!(name, "route" => route).record(took);
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn report(&self, now: Duration) {
-        let open = self.scheduler.open(now);
+        let open = self.scheduler.open_agent_count(now);
         let ready = self.configuration.is_some() && open > 0;
         let evacuated = self.evacuated.iter();
         let evacuations: Vec<Evacuation> = evacuated
@@ -44,7 +44,7 @@
                 tasks: self.scheduler.placed_in(data_centre),
             })
             .collect();
-        let (jobs, links, version) = (self.scheduler.jobs(), self.links.len(), self.version());
+        let (jobs, links, version) = (self.scheduler.job_count(), self.links.len(), self.version());
         metrics::gauge!("cassiarock_jobs").set(jobs as f64);
         metrics::gauge!("cassiarock_agents_open").set(open as f64);
         self.status.send_if_modified(|status| {
--- a/crates/cassiarock-dispatch/src/run/entry.rs
+++ b/crates/cassiarock-dispatch/src/run/entry.rs
@@ -14,9 +14,9 @@
     BACKLOG, Clock, Fault, Parts, Pump, Report, Stage, Status, forward, until,
 };
 use cassiarock_transient::directory::Place;
-use cassiarock_transient::lag::Lag;
+use cassiarock_transient::lag::ConfigurationLag;
 use cassiarock_transient::roster::{PEERS, Roster};
-use cassiarock_transient::{Scheduler, Table};
+use cassiarock_transient::{RouteTable, Scheduler};
 use cassiarock_wire::Role;
 use kameo::actor::Spawn;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -181,7 +181,7 @@
 
 fn new(
     mesh: Mesh,
-    table: watch::Sender<Option<Arc<Table>>>,
+    table: watch::Sender<Option<Arc<RouteTable>>>,
     status: watch::Sender<Status>,
     store: Store,
 ) -> Entry {
@@ -191,7 +191,7 @@
         links: Links::new(),
         callers: HashMap::new(),
         configuration: None,
-        lag: Lag::new(),
+        lag: ConfigurationLag::new(),
         store,
         table,
         status,
--- a/crates/cassiarock-lab/src/simulation/entries.rs
+++ b/crates/cassiarock-lab/src/simulation/entries.rs
@@ -32,8 +32,10 @@
 
     fn scheduler(&self, number: usize, life: u64) -> Scheduler {
         let seed = self.seed ^ (life << 32) ^ number as u64;
-        let mut scheduler = Scheduler::new().with_switch(self.switch).with_seed(seed);
-        scheduler.evacuate(self.evacuations.clone());
+        let mut scheduler = Scheduler::new()
+            .with_mechanisms(self.mechanisms)
+            .with_seed(seed);
+        scheduler.set_evacuations(self.evacuations.clone());
         scheduler
     }
 
@@ -74,7 +76,7 @@
             return;
         }
         self.poll_entry(number);
-        let wake = self.entries[number].scheduler.wake(self.now);
+        let wake = self.entries[number].scheduler.next_poll(self.now);
         let wake = wake.max(self.now + Duration::from_millis(1));
         self.agenda.add(wake, Event::WakeEntry(number, life));
     }
@@ -82,7 +84,7 @@
     pub(super) fn poll_entry(&mut self, number: usize) {
         let actions = self.entries[number].scheduler.poll(self.now);
         self.carry_out_entry(number, actions);
-        let jobs = self.entries[number].scheduler.jobs();
+        let jobs = self.entries[number].scheduler.job_count();
         self.tally.queue = self.tally.queue.max(jobs);
     }
 
@@ -93,7 +95,7 @@
         }
         let actions = entry
             .scheduler
-            .message(&frame.from, frame.message, self.now);
+            .handle_message(&frame.from, frame.message, self.now);
         self.carry_out_entry(number, actions);
         self.poll_entry(number);
     }
@@ -106,7 +108,7 @@
                     self.send(from, to, message);
                 }
                 Action::Answer(submission, answer) => self.answer(submission, answer),
-                Action::Tell(_) | Action::Measure(..) => {}
+                Action::Log(_) | Action::Measure(..) => {}
             }
         }
     }
--- a/crates/cassiarock-transient/src/scheduler/action.rs
+++ b/crates/cassiarock-transient/src/scheduler/action.rs
@@ -19,7 +19,7 @@
     /// The job was not run, and nothing of it will be.
     Refused {
         /// When the caller should come back.
-        again: Duration,
+        retry_after: Duration,
         /// Whether the system has too much to do, rather than no upstream at all.
         is_overload: bool,
     },
@@ -33,14 +33,14 @@
     /// Answer the caller of the job with this number.
     Answer(u64, Answer),
     /// A line for the log.
-    Tell(Decision),
+    Log(Decision),
     /// How long a stage of a job of this route took.
-    Measure(Stage, Name, Duration),
+    Measure(Latency, Name, Duration),
 }
 
 /// A stage of a job's way, for metrics.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Stage {
+pub enum Latency {
     /// From its arrival until its first tasks were placed.
     Queue,
     /// From its arrival until it was completed.
--- a/crates/cassiarock-transient/src/scheduler/admit.rs
+++ b/crates/cassiarock-transient/src/scheduler/admit.rs
@@ -6,7 +6,7 @@
 
 use super::work::{Phase, Work};
 use super::{Answer, Scheduler, told};
-use crate::{Decision, Demand};
+use crate::{Decision, Resources};
 use std::time::Duration;
 
 /// The first pause that a refused caller is asked to make, and the most that chance adds to
@@ -37,7 +37,7 @@
         if open.is_empty() {
             return Err(self.without(line("refused").with("reason", "no upstream")));
         }
-        let fits = |demand: &Demand| open.iter().any(|agent| demand.fits(&agent.capacity()));
+        let fits = |demand: &Resources| open.iter().any(|agent| demand.fits_in(&agent.capacity()));
         if let Some(stage) = work.job.stages.iter().find(|stage| !fits(&stage.demand)) {
             let inputs = |line: Decision| {
                 line.with("cpu", stage.demand.cpu)
@@ -74,7 +74,7 @@
                 .with("free_cpu", room)
                 .with("version", work.class.version)
         };
-        if end > work.due && self.switch.admission {
+        if end > work.due && self.mechanisms.admission {
             let answer = self.refused(AGAIN + wait, true);
             return Err((answer, line("refused").with("reason", "queue")));
         }
@@ -97,10 +97,10 @@
     }
 
     /// A refusal. The pause is spread over half as much again.
-    pub(super) fn refused(&self, again: Duration, is_overload: bool) -> Answer {
-        let spread = again.mul_f64(self.chance.below(0.5));
+    pub(super) fn refused(&self, retry_after: Duration, is_overload: bool) -> Answer {
+        let spread = retry_after.mul_f64(self.chance.below(0.5));
         Answer::Refused {
-            again: again + spread,
+            retry_after: retry_after + spread,
             is_overload,
         }
     }
@@ -120,6 +120,6 @@
 fn cpu(work: &Work) -> u64 {
     let stages = work.job.stages.iter();
     stages
-        .map(|stage| u64::from(stage.tasks) * stage.demand.cpu)
+        .map(|stage| u64::from(stage.task_count) * stage.demand.cpu)
         .sum()
 }
--- a/crates/cassiarock-transient/src/scheduler/mod.rs
+++ b/crates/cassiarock-transient/src/scheduler/mod.rs
@@ -12,6 +12,7 @@
 mod kinds;
 mod link;
 mod lost;
+mod mechanisms;
 mod patience;
 mod place;
 mod rank;
@@ -20,11 +21,10 @@
 mod reserve;
 mod settle;
 mod shift;
-mod switch;
 mod work;
 
 use crate::message::Message;
-use crate::{Class, Decision, Job, evacuation};
+use crate::{Decision, Job, JobClass, evacuation};
 use agent::Agent;
 use cassiarock_id::{Name, Process};
 use chance::Chance;
@@ -40,8 +40,8 @@
 use std::time::Duration;
 use work::Work;
 
-pub use action::{Action, Answer, Stage};
-pub use switch::Switch;
+pub use action::{Action, Answer, Latency};
+pub use mechanisms::Mechanisms;
 
 /// A process that was not run for this long may hold requests whose callers have left and
 /// submitted them elsewhere. It learns of that from its sockets first.
@@ -88,7 +88,7 @@
     /// Agents where tasks run that may crash upstreams.
     suspected: BTreeSet<Process>,
     /// Which mechanisms decide.
-    switch: Switch,
+    mechanisms: Mechanisms,
     chance: Chance,
     /// The job for which agents were last asked for room, and when.
     asked: Option<(u64, Duration)>,
@@ -100,7 +100,7 @@
     /// A scheduler without agents.
     ///
     /// ```
-    /// assert_eq!(cassiarock_transient::Scheduler::new().jobs(), 0);
+    /// assert_eq!(cassiarock_transient::Scheduler::new().job_count(), 0);
     /// ```
     #[must_use]
     pub fn new() -> Self {
@@ -109,8 +109,8 @@
 
     /// The same with these mechanisms only.
     #[must_use]
-    pub fn with_switch(self, switch: Switch) -> Self {
-        Self { switch, ..self }
+    pub fn with_mechanisms(self, mechanisms: Mechanisms) -> Self {
+        Self { mechanisms, ..self }
     }
 
     /// The same with chance from a seed.
@@ -124,13 +124,13 @@
 
     /// Jobs without an answer.
     #[must_use]
-    pub fn jobs(&self) -> usize {
+    pub fn job_count(&self) -> usize {
         self.works.len()
     }
 
     /// Jobs of which nothing has started.
     #[must_use]
-    pub fn pending(&self, route: &str) -> usize {
+    pub fn unstarted_job_count(&self, route: &str) -> usize {
         let works = self.works.values();
         let unstarted = works.filter(|work| !work.may_have_run() && &*work.class.route == route);
         unstarted.count()
@@ -138,7 +138,7 @@
 
     /// Agents that can be given tasks.
     #[must_use]
-    pub fn open(&self, now: Duration) -> usize {
+    pub fn open_agent_count(&self, now: Duration) -> usize {
         let agents = self.agents.values();
         agents.filter(|agent| agent.is_open(now)).count()
     }
@@ -152,7 +152,7 @@
     }
 
     /// The linked agents.
-    pub fn linked(&self) -> impl Iterator<Item = &Process> {
+    pub fn linked_agents(&self) -> impl Iterator<Item = &Process> {
         let agents = self.agents.iter();
         agents
             .filter(|(_, agent)| agent.is_linked)
@@ -160,13 +160,13 @@
     }
 
     /// The version of the configuration in force, for heartbeats.
-    pub const fn adopt(&mut self, version: u64) {
+    pub const fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
     /// The number of the unanswered job with this id, if it is here.
     #[must_use]
-    pub fn find(&self, job: &str) -> Option<u64> {
+    pub fn find_job(&self, job: &str) -> Option<u64> {
         let mut works = self.works.values();
         let found = works.find(|work| &*work.job.id == job);
         found.map(|work| work.number)
@@ -184,19 +184,20 @@
         &mut self,
         number: u64,
         job: Job,
-        class: Arc<Class>,
+        class: Arc<JobClass>,
         patience: Duration,
         now: Duration,
     ) -> Vec<Action> {
         let ratio = self.ratios.of(&class.route);
-        let has_waited = self.switch.waited_last && self.patience.is_spent(&class.route, patience);
+        let has_waited =
+            self.mechanisms.waited_last && self.patience.is_spent(&class.route, patience);
         self.patience.learn(&class.route, patience);
-        let class = if self.switch.priority {
+        let class = if self.mechanisms.priority {
             class
         } else {
-            Arc::new(Class {
+            Arc::new(JobClass {
                 priority: 0,
-                ..Class::clone(&class)
+                ..JobClass::clone(&class)
             })
         };
         self.reserve.arrive(class.priority, now);
@@ -207,13 +208,13 @@
             let told = told("failed", &work, now)
                 .with("reason", "a task of it crashes upstreams")
                 .with("crashed", crashed);
-            actions.push(Action::Tell(told.failed()));
+            actions.push(Action::Log(told.failed()));
             actions.push(Action::Answer(number, Answer::Failed));
             return actions;
         }
         match self.admit(&work, now) {
             Ok(told) => {
-                actions.push(Action::Tell(told));
+                actions.push(Action::Log(told));
                 self.queue.insert(work.rank());
                 self.works.insert(number, work);
                 self.is_stirred = true;
@@ -228,7 +229,7 @@
                 ) {
                     self.reserve.learn(work.class.priority, false);
                 }
-                actions.push(Action::Tell(told));
+                actions.push(Action::Log(told));
                 actions.push(Action::Answer(number, answer));
             }
         }
@@ -253,7 +254,7 @@
         let Some(work) = self.remove(number) else {
             return actions;
         };
-        actions.push(Action::Tell(
+        actions.push(Action::Log(
             told("abandoned", &work, now).with("reason", reason),
         ));
         self.halt_all(&work, &mut actions);
@@ -267,7 +268,7 @@
         if gap >= FROZEN && !self.polled.is_zero() {
             self.paused = now + THAW;
             let told = Decision::new("thawed", "", "").with("gap_ms", gap.as_millis());
-            actions.push(Action::Tell(told.failed()));
+            actions.push(Action::Log(told.failed()));
         }
         self.polled = now;
         if now >= self.checked + CHECK {
@@ -289,7 +290,7 @@
 
     /// When [`Self::poll`] has to be called next.
     #[must_use]
-    pub fn wake(&self, now: Duration) -> Duration {
+    pub fn next_poll(&self, now: Duration) -> Duration {
         // What waits for a time is looked at with each check.
         (self.checked + CHECK).max(now)
     }
@@ -324,7 +325,7 @@
         .with("age_ms", now.saturating_sub(work.arrived).as_millis())
         .with("left_ms", work.limit.saturating_sub(now).as_millis())
         .with("leaves_ms", work.leaves.saturating_sub(now).as_millis())
-        .with("tasks", work.job.tasks())
+        .with("tasks", work.job.task_count())
         .with("not_done", work.left)
         .with("has_waited", work.has_waited)
 }
--- a/crates/cassiarock-transient/src/scheduler/settle.rs
+++ b/crates/cassiarock-transient/src/scheduler/settle.rs
@@ -1,7 +1,7 @@
 //! What ends of attempts make of the jobs.
 
 use super::work::{Phase, Task, Work};
-use super::{Action, Answer, Scheduler, Stage, told};
+use super::{Action, Answer, Latency, Scheduler, told};
 use crate::message::{End, Ending};
 use cassiarock_id::Process;
 use std::time::Duration;
@@ -35,7 +35,7 @@
             return;
         }
         work.has_run |= !ending.end.is_unrun();
-        let attempts = work.class.attempts.max(1);
+        let attempts = work.class.max_attempts.max(1);
         let Some(task) = work.present(from, &ending.attempt) else {
             return;
         };
@@ -89,13 +89,13 @@
             .with("lost_together", !is_suspect);
         if let Some(task) = work.present(from, &ending.attempt) {
             place_again(task, from, ending.end, now);
-            if is_suspect && self.switch.suspicion {
+            if is_suspect && self.mechanisms.suspicion {
                 task.turned = 0;
                 self.crashes.add(&id, &ending.attempt, task, from, now);
             }
             line = line.with("crashes", task.crashed.len());
         }
-        actions.push(Action::Tell(line.failed()));
+        actions.push(Action::Log(line.failed()));
         match work.crashed() {
             Some(_) => {
                 let reason = "a task of it crashes upstreams";
@@ -135,10 +135,10 @@
             let line = told("completed", &work, now)
                 .with("on_time", now <= work.due)
                 .with("retries", work.retries);
-            actions.push(Action::Tell(line));
+            actions.push(Action::Log(line));
             let took = now.saturating_sub(work.arrived);
             let route = work.class.route.clone();
-            actions.push(Action::Measure(Stage::Answer, route, took));
+            actions.push(Action::Measure(Latency::Answer, route, took));
             actions.push(Action::Answer(number, Answer::Completed));
         }
     }
@@ -163,7 +163,7 @@
             .with("retries", work.retries)
             .with("places", places(&work))
             .with("crashed", work.crashed().unwrap_or_default());
-        actions.push(Action::Tell(line.failed()));
+        actions.push(Action::Log(line.failed()));
         self.halt_all(&work, actions);
         actions.push(Action::Answer(number, answer));
     }
--- a/crates/cassiarock-transient/tests/scheduler/answers.rs
+++ b/crates/cassiarock-transient/tests/scheduler/answers.rs
@@ -120,7 +120,7 @@
         id: "u-large".into(),
         born: None,
         service: "s".into(),
-        capacity: cassiarock_transient::Demand::new(20_000, 2_000, 0),
+        capacity: cassiarock_transient::Resources::new(20_000, 2_000, 0),
         labels: vec![],
         is_leaving: false,
     };
@@ -156,7 +156,7 @@
     world.submit(1, 1, 50, 2_000);
     let answer = world.answer(1);
     assert!(
-        matches!(answer, Some(Answer::Refused { is_overload: false, again }) if again >= ms(1_000)),
+        matches!(answer, Some(Answer::Refused { is_overload: false, retry_after }) if retry_after >= ms(1_000)),
         "{answer:?}"
     );
 }
@@ -166,7 +166,7 @@
     let mut world = World::new(1);
     world.submit(1, 3, 50, 2_000);
     let actions = world.scheduler.abandon(1, "its caller left", world.now);
-    assert_eq!(world.scheduler.jobs(), 0);
+    assert_eq!(world.scheduler.job_count(), 0);
     let halts = actions.iter().filter(|action| {
         matches!(action, cassiarock_transient::scheduler::Action::Send(_, cassiarock_transient::Message::Halt(attempts)) if attempts.len() == 3)
     });
--- a/crates/cassiarock-transient/tests/scheduler/ask.rs
+++ b/crates/cassiarock-transient/tests/scheduler/ask.rs
@@ -3,7 +3,7 @@
 use crate::world::{ROOM, World, agent, ms};
 use cassiarock_transient::message::{Load, Upstream};
 use cassiarock_transient::scheduler::Action;
-use cassiarock_transient::{Demand, Message};
+use cassiarock_transient::{Message, Resources};
 
 /// What agents are asked for, with nobody left out.
 fn asks(actions: &[Action]) -> Vec<u32> {
@@ -16,7 +16,7 @@
 }
 
 /// A heartbeat of an agent that holds room for this entry.
-fn offer(world: &World, free: Demand) -> Message {
+fn offer(world: &World, free: Resources) -> Message {
     Message::AgentBeat {
         clock: u64::try_from(world.now.as_millis()).unwrap(),
         load: Load {
@@ -48,7 +48,9 @@
 fn an_entry_that_needs_no_room_passes_an_offer_at_once() {
     let mut world = World::new(2);
     let message = offer(&world, ROOM);
-    let mut actions = world.scheduler.message(&agent(0), message, world.now);
+    let mut actions = world
+        .scheduler
+        .handle_message(&agent(0), message, world.now);
     actions.extend(world.scheduler.poll(world.now));
     let passed = actions.iter().any(|action| {
         matches!(action, Action::Send(to, Message::EntryBeat { ask: None, .. }) if *to == agent(0))
--- a/crates/cassiarock-transient/tests/scheduler/world.rs
+++ b/crates/cassiarock-transient/tests/scheduler/world.rs
@@ -3,19 +3,19 @@
 use cassiarock_id::Process;
 use cassiarock_transient::message::{Attempt, End, Ending, Load, Order, Upstream};
 use cassiarock_transient::scheduler::{Action, Answer};
-use cassiarock_transient::{Class, Demand, Job, Message, Scheduler, Stage};
+use cassiarock_transient::{Job, JobClass, Message, Resources, Scheduler, Stage};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// The room of each upstream: ten tasks.
-pub const ROOM: Demand = Demand::new(10_000, 1_000, 0);
+pub const ROOM: Resources = Resources::new(10_000, 1_000, 0);
 
 /// Where agents are that no test puts elsewhere.
 pub const DATA_CENTRE: &str = "dc-1";
 
 /// What each task takes.
-pub const TASK: Demand = Demand::new(1_000, 64, 0);
+pub const TASK: Resources = Resources::new(1_000, 64, 0);
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -81,20 +81,20 @@
     }
 
     pub fn tell(&mut self, agent: &Process, message: Message) {
-        let actions = self.scheduler.message(agent, message, self.now);
+        let actions = self.scheduler.handle_message(agent, message, self.now);
         self.take(actions);
     }
 
     /// Heartbeats of all agents.
     pub fn beat(&mut self) {
-        let agents: Vec<Process> = self.scheduler.linked().cloned().collect();
+        let agents: Vec<Process> = self.scheduler.linked_agents().cloned().collect();
         for agent in agents {
             self.beat_of(&agent, ROOM);
         }
     }
 
     /// A heartbeat of one agent, with so much room besides what this entry has placed.
-    pub fn beat_of(&mut self, agent: &Process, room: Demand) {
+    pub fn beat_of(&mut self, agent: &Process, room: Resources) {
         let load = self.load(agent, room);
         let message = Message::AgentBeat {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
@@ -103,11 +103,11 @@
         self.tell(agent, message);
     }
 
-    fn load(&self, agent: &Process, room: Demand) -> Load {
+    fn load(&self, agent: &Process, room: Resources) -> Load {
         let here = self.placed.iter().filter(|task| task.agent == *agent);
         Load {
             seen: self.seen.get(agent).copied().unwrap_or_default(),
-            free: here.fold(room, |free, _| free.minus(&TASK)),
+            free: here.fold(room, |free, _| free.saturating_sub(&TASK)),
             failing: 0,
             pace: 100,
             entries: 1,
@@ -121,10 +121,10 @@
 
     /// Submits a job of a queue with this priority, of tasks of 400 ms.
     pub fn submit_of(&mut self, number: u64, tasks: u32, priority: u32) {
-        let class = Class {
+        let class = JobClass {
             priority,
             route: format!("r-{priority}").into(),
-            ..Class::clone(&class())
+            ..JobClass::clone(&class())
         };
         let job = job(number, tasks, 400);
         let class = Arc::new(class);
@@ -196,7 +196,7 @@
                     let first = self.answers.insert(number, (answer, self.now));
                     assert_eq!(first, None, "job {number} is answered once");
                 }
-                Action::Send(..) | Action::Tell(_) | Action::Measure(..) => {}
+                Action::Send(..) | Action::Log(_) | Action::Measure(..) => {}
             }
         }
     }
@@ -216,14 +216,14 @@
     Process::new(format!("agent-{number}"), 1)
 }
 
-pub fn class() -> Arc<Class> {
-    Arc::new(Class {
+pub fn class() -> Arc<JobClass> {
+    Arc::new(JobClass {
         route: "r".into(),
         service: "s".into(),
         priority: 0,
-        attempts: 2,
-        slack: 1.6,
-        target: ms(60),
+        max_attempts: 2,
+        slack_factor: 1.6,
+        target_latency: ms(60),
         version: 1,
     })
 }
@@ -234,7 +234,7 @@
         request: format!("r-{number}").into(),
         spec: "what to do".into(),
         stages: vec![Stage {
-            tasks,
+            task_count: tasks,
             demand: TASK,
             estimate: ms(estimate),
             ..Stage::default()
@@ -246,9 +246,9 @@
 impl World {
     /// All agents say that they have no room.
     pub fn tell_full(&mut self) {
-        let agents: Vec<Process> = self.scheduler.linked().cloned().collect();
+        let agents: Vec<Process> = self.scheduler.linked_agents().cloned().collect();
         for agent in agents {
-            self.beat_of(&agent, Demand::default());
+            self.beat_of(&agent, Resources::default());
         }
     }
 
@@ -265,7 +265,7 @@
         let message = Message::Ended {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
             endings: vec![ending],
-            load: self.load(&task.agent, Demand::default()),
+            load: self.load(&task.agent, Resources::default()),
         };
         self.tell(&task.agent, message);
         self.poll();
