--- a/crates/cassiarock-agent/src/state/tasks.rs
+++ b/crates/cassiarock-agent/src/state/tasks.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, State, Work};
 use cassiarock_claim::Ballot;
-use cassiarock_claim::ledger::{Cancelled, Verdict};
+use cassiarock_claim::ledger::{CancelDecision, StartDecision};
 use cassiarock_claim::message::{Cancel, Outcome, Reject};
 use cassiarock_id::Process;
 use cassiarock_policy::note::{self, Load};
@@ -59,17 +59,17 @@
         match self.ledger.start(&start, now.wall) {
             // Only after the ledger was asked: a repeat of a task that runs here must not be
             // told that it has not started, and a refused start must stay refused.
-            Verdict::Run if !self.healthy => {
+            StartDecision::Run if !self.healthy => {
                 self.ledger.refuse(&start);
                 refused.push((work, Some(Reject::Full)));
             }
-            Verdict::Run => accepted.push(work),
-            Verdict::Attached => refused.push((work, None)),
-            Verdict::Ended(outcome) => {
+            StartDecision::Run => accepted.push(work),
+            StartDecision::Attached => refused.push((work, None)),
+            StartDecision::Ended(outcome) => {
                 actions.push(ended(&work, &work.run.ballot, outcome, 0, None));
                 refused.push((work, None));
             }
-            Verdict::Rejected(reject) => refused.push((work, Some(reject))),
+            StartDecision::Rejected(reject) => refused.push((work, Some(reject))),
         }
     }
 
@@ -169,8 +169,8 @@
         let cancelled = self.ledger.cancel(cancel);
         log::info!(job:% = cancel.job, task:% = cancel.task, entry:% = entry; "cancel: {cancelled:?}");
         let reject = match cancelled {
-            Cancelled::Running => return vec![Action::Stop(key)],
-            Cancelled::Ended(outcome) => {
+            CancelDecision::Running => return vec![Action::Stop(key)],
+            CancelDecision::Ended(outcome) => {
                 let ended = Ended {
                     job: cancel.job,
                     ballot: cancel.ballot.clone(),
@@ -181,12 +181,12 @@
                 };
                 return vec![Action::Send(entry.clone(), Frame::Ended(ended))];
             }
-            Cancelled::Never => {
+            CancelDecision::Never => {
                 self.pool.cancel(&key);
                 self.queued.remove(&key);
                 Reject::Cancelled
             }
-            Cancelled::Rejected(reject) => reject,
+            CancelDecision::Rejected(reject) => reject,
         };
         let rejected = Rejected {
             job: cancel.job,
--- a/crates/cassiarock-claim/examples/costs.rs
+++ b/crates/cassiarock-claim/examples/costs.rs
@@ -5,7 +5,7 @@
 //! ```
 
 use cassiarock_claim::keeper::Keeper;
-use cassiarock_claim::ledger::{Ledger, Verdict};
+use cassiarock_claim::ledger::{Ledger, StartDecision};
 use cassiarock_claim::message::{Answer, Ask, Outcome, Purpose, Start};
 use cassiarock_claim::owner::{Action, Event, Owner};
 use cassiarock_claim::view::{Settlement, Timing, View};
@@ -175,7 +175,7 @@
                 } else {
                     Ballot::UNCLAIMED
                 };
-                assert_eq!(ledger.start(&start, NOW), Verdict::Run);
+                assert_eq!(ledger.start(&start, NOW), StartDecision::Run);
                 ledger.begin(job, start.task);
                 let outcome = Outcome::Done(vec![0; ANSWER]);
                 black_box(ledger.end(job, start.task, outcome));
--- a/crates/cassiarock-claim/src/ledger/book.rs
+++ b/crates/cassiarock-claim/src/ledger/book.rs
@@ -11,7 +11,7 @@
 
 /// What the agent does with a start message.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum StartDecision {
     /// Queue the task and call [`Ledger::begin`] just before it is handed to the worker.
     Run,
     /// The task is here already; its outcome will be sent to this attempt too.
@@ -25,7 +25,7 @@
 /// The start ledger of one agent.
 ///
 /// ```
-/// use cassiarock_claim::ledger::{Ledger, Verdict};
+/// use cassiarock_claim::ledger::{Ledger, StartDecision};
 /// use cassiarock_claim::message::{Outcome, Start};
 /// use cassiarock_claim::{Ballot, Limit};
 /// use cassiarock_id::{Job, Process, Task, Wall};
@@ -44,13 +44,13 @@
 ///     placement: 1,
 ///     start_by: now.plus(Duration::from_secs(1)),
 /// };
-/// assert_eq!(ledger.start(&start, now), Verdict::Run);
-/// assert_eq!(ledger.start(&start, now), Verdict::Attached);
+/// assert_eq!(ledger.start(&start, now), StartDecision::Run);
+/// assert_eq!(ledger.start(&start, now), StartDecision::Attached);
 /// assert!(ledger.begin(start.job, start.task));
 /// let done = Outcome::Done(b"ok".to_vec());
 /// let told = ledger.end(start.job, start.task, done.clone());
 /// assert_eq!(told, [start.ballot.clone()]);
-/// assert_eq!(ledger.start(&start, now), Verdict::Ended(done));
+/// assert_eq!(ledger.start(&start, now), StartDecision::Ended(done));
 /// ```
 #[derive(Debug)]
 pub struct Ledger {
@@ -111,7 +111,7 @@
     }
 
     /// Decides on a start message.
-    pub fn start(&mut self, start: &Start, now: Wall) -> Verdict {
+    pub fn start(&mut self, start: &Start, now: Wall) -> StartDecision {
         self.latest = self.latest.max(now);
         // Before the checks, as the job itself may be forgotten by it.
         if self.bytes >= self.limit.bytes {
@@ -120,23 +120,23 @@
         let known = self.jobs.get(&start.job);
         // Whoever uses an id again for other tasks must not see the first one's answers.
         if known.is_some_and(|record| record.digest != start.digest) {
-            return Verdict::Rejected(Reject::Mismatch);
+            return StartDecision::Rejected(Reject::Mismatch);
         }
         if let Some(verdict) = self.known(start) {
             return verdict;
         }
         if let Err(reject) = self.check(start) {
-            return Verdict::Rejected(reject);
+            return StartDecision::Rejected(reject);
         }
         if start.ballot.round == Ballot::UNCLAIMED {
-            return Verdict::Run;
+            return StartDecision::Run;
         }
         if self.bytes >= self.limit.bytes {
             self.put(start, Stage::Void);
-            return Verdict::Rejected(Reject::Full);
+            return StartDecision::Rejected(Reject::Full);
         }
         self.put(start, Stage::Waiting);
-        Verdict::Run
+        StartDecision::Run
     }
 
     /// Takes back an accepted start for which the agent has no room; the agent answers
@@ -224,19 +224,19 @@
         self.bytes
     }
 
-    fn known(&mut self, start: &Start) -> Option<Verdict> {
+    fn known(&mut self, start: &Start) -> Option<StartDecision> {
         let slot = self.slot(start.job, start.task)?;
         match &slot.stage {
             Stage::Waiting | Stage::Void if start.ballot < slot.ballot => None,
             Stage::Waiting | Stage::Running => {
                 slot.attach(&start.ballot);
-                Some(Verdict::Attached)
+                Some(StartDecision::Attached)
             }
-            Stage::Ended(outcome) => Some(Verdict::Ended(outcome.clone())),
+            Stage::Ended(outcome) => Some(StartDecision::Ended(outcome.clone())),
             Stage::Void => {
                 let void = (&slot.ballot, slot.placement);
                 let newer = guard::newer_start((&start.ballot, start.placement), void);
-                (!newer).then_some(Verdict::Rejected(Reject::Cancelled))
+                (!newer).then_some(StartDecision::Rejected(Reject::Cancelled))
             }
         }
     }
--- a/crates/cassiarock-claim/src/ledger/fence.rs
+++ b/crates/cassiarock-claim/src/ledger/fence.rs
@@ -9,7 +9,7 @@
 
 /// What the agent does with a cancellation.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Cancelled {
+pub enum CancelDecision {
     /// That placement has not begun and never will: take it from the queue and answer
     /// `Reject::Cancelled`.
     Never,
@@ -23,7 +23,7 @@
 
 /// What the agent does with an accepted fence.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Fenced {
+pub struct AcceptedFence {
     /// The answer to the entry.
     pub report: Report,
     /// Tasks that waited under lower attempts: take them from the queue.
@@ -32,31 +32,31 @@
 
 impl Ledger {
     /// Withdraws a placement, also one whose start message has not arrived yet.
-    pub fn cancel(&mut self, cancel: &Cancel) -> Cancelled {
+    pub fn cancel(&mut self, cancel: &Cancel) -> CancelDecision {
         let known = self.jobs.get(&cancel.job);
         if known.is_some_and(|record| record.digest != cancel.digest) {
-            return Cancelled::Rejected(Reject::Mismatch);
+            return CancelDecision::Rejected(Reject::Mismatch);
         }
         if let Some(record) = known
             && !guard::above_fence(&cancel.ballot, &record.fence)
         {
-            return Cancelled::Rejected(Reject::Fenced(record.fence.clone()));
+            return CancelDecision::Rejected(Reject::Fenced(record.fence.clone()));
         }
         if let Some(slot) = self.slot(cancel.job, cancel.task) {
             match &slot.stage {
-                Stage::Running => return Cancelled::Running,
-                Stage::Ended(outcome) => return Cancelled::Ended(outcome.clone()),
+                Stage::Running => return CancelDecision::Running,
+                Stage::Ended(outcome) => return CancelDecision::Ended(outcome.clone()),
                 Stage::Waiting | Stage::Void if slot.is_after(cancel) => {
-                    return Cancelled::Never;
+                    return CancelDecision::Never;
                 }
                 Stage::Waiting | Stage::Void => {}
             }
         }
         if !self.jobs.contains_key(&cancel.job) && self.is_forgotten(cancel.job) {
-            return Cancelled::Rejected(Reject::Forgotten);
+            return CancelDecision::Rejected(Reject::Forgotten);
         }
         self.void(cancel);
-        Cancelled::Never
+        CancelDecision::Never
     }
 
     /// Fences a job: rejects every lower attempt from now on, withdraws what waits under
@@ -67,7 +67,7 @@
     /// planned by an older membership than this agent's or than a former fence's,
     /// `Forgotten` if the job may have been evicted, `Leaving` if others have taken this
     /// ledger over.
-    pub fn fence(&mut self, fence: &Fence, now: Wall) -> Result<Fenced, Reject> {
+    pub fn fence(&mut self, fence: &Fence, now: Wall) -> Result<AcceptedFence, Reject> {
         self.latest = self.latest.max(now);
         if guard::handed_over(self.handed) {
             return Err(Reject::Leaving);
@@ -110,7 +110,7 @@
         self.recount(cancel.job);
     }
 
-    fn report(&self, job: Job, withdrawn: Vec<Task>) -> Fenced {
+    fn report(&self, job: Job, withdrawn: Vec<Task>) -> AcceptedFence {
         let record = &self.jobs[&job];
         let report = Report {
             job,
@@ -119,7 +119,7 @@
             closed: record.closed,
             tasks: record.states(),
         };
-        Fenced { report, withdrawn }
+        AcceptedFence { report, withdrawn }
     }
 }
 
--- a/crates/cassiarock-claim/src/ledger/mod.rs
+++ b/crates/cassiarock-claim/src/ledger/mod.rs
@@ -6,5 +6,5 @@
 mod record;
 mod slots;
 
-pub use book::{Ledger, Verdict};
-pub use fence::{Cancelled, Fenced};
+pub use book::{Ledger, StartDecision};
+pub use fence::{AcceptedFence, CancelDecision};
--- a/crates/cassiarock-claim/tests/ledger.rs
+++ b/crates/cassiarock-claim/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! The start ledger's decisions.
 
-use cassiarock_claim::ledger::{Cancelled, Ledger, Verdict};
+use cassiarock_claim::ledger::{CancelDecision, Ledger, StartDecision};
 use cassiarock_claim::message::{Cancel, Fence, Outcome, Reject, Start, State};
 use cassiarock_claim::view::View;
 use cassiarock_claim::{Ballot, Limit};
@@ -58,7 +58,7 @@
     of_a_job_older_than_the_memory = { Start { job: Job::with_bits(NOW.minus(KEPT), 1), ..start(1, ballot(1, 1)) }, Reject::Forgotten },
 )]
 fn a_start_is_rejected(start: Start, reason: Reject) {
-    assert_eq!(ledger().start(&start, NOW), Verdict::Rejected(reason));
+    assert_eq!(ledger().start(&start, NOW), StartDecision::Rejected(reason));
 }
 
 // A start message is sent, its connection goes silent, and the entry sends it again on a
@@ -68,16 +68,16 @@
 fn a_rejected_placement_stays_rejected_and_the_next_one_passes() {
     let mut ledger = ledger();
     let first = start(1, ballot(1, 1));
-    assert_eq!(ledger.start(&first, NOW), Verdict::Run);
+    assert_eq!(ledger.start(&first, NOW), StartDecision::Run);
     ledger.refuse(&first);
     assert!(!ledger.begin(first.job, first.task));
     let again = ledger.start(&first, NOW);
-    assert_eq!(again, Verdict::Rejected(Reject::Cancelled));
+    assert_eq!(again, StartDecision::Rejected(Reject::Cancelled));
     let second = Start {
         placement: 2,
         ..first
     };
-    assert_eq!(ledger.start(&second, NOW), Verdict::Run);
+    assert_eq!(ledger.start(&second, NOW), StartDecision::Run);
 }
 
 #[test]
@@ -91,15 +91,15 @@
         task: start.task,
         placement: 1,
     };
-    assert_eq!(ledger.cancel(&cancel), Cancelled::Never);
+    assert_eq!(ledger.cancel(&cancel), CancelDecision::Never);
     let late = ledger.start(&start, NOW);
-    assert_eq!(late, Verdict::Rejected(Reject::Cancelled));
+    assert_eq!(late, StartDecision::Rejected(Reject::Cancelled));
     let next = Start {
         placement: 2,
         ..start
     };
-    assert_eq!(ledger.start(&next, NOW), Verdict::Run);
-    assert_eq!(ledger.cancel(&cancel), Cancelled::Never);
+    assert_eq!(ledger.start(&next, NOW), StartDecision::Run);
+    assert_eq!(ledger.cancel(&cancel), CancelDecision::Never);
     assert!(ledger.begin(next.job, next.task));
 }
 
@@ -126,7 +126,7 @@
         task: Task(2),
         ..waiting
     };
-    let rejected = Verdict::Rejected(Reject::Fenced(high));
+    let rejected = StartDecision::Rejected(Reject::Fenced(high));
     assert_eq!(ledger.start(&low, NOW), rejected);
 }
 
@@ -153,7 +153,7 @@
     let closed = ledger.fence(&fence(&unknown, ballot(1, 1), true), NOW);
     assert!(closed.unwrap().report.closed);
     let late = ledger.start(&unknown, NOW);
-    assert_eq!(late, Verdict::Rejected(Reject::Closed));
+    assert_eq!(late, StartDecision::Rejected(Reject::Closed));
 
     let started = start(2, ballot(1, 1));
     ledger.start(&started, NOW);
@@ -180,18 +180,18 @@
             job: Job::with_bits(issued, n),
             ..start(n, ballot(1, 1))
         };
-        assert_eq!(ledger.start(&start, NOW), Verdict::Run);
+        assert_eq!(ledger.start(&start, NOW), StartDecision::Run);
         ledger.begin(start.job, start.task);
         ledger.end(start.job, start.task, done());
     }
     ledger.evict(NOW);
     assert!(ledger.bytes() <= 4_000);
-    assert_eq!(ledger.start(&running, NOW), Verdict::Attached);
+    assert_eq!(ledger.start(&running, NOW), StartDecision::Attached);
     let evicted = Start {
         job: Job::with_bits(NOW.plus(Duration::from_millis(1)), 1),
         ..start(1, ballot(1, 1))
     };
-    let forgotten = Verdict::Rejected(Reject::Forgotten);
+    let forgotten = StartDecision::Rejected(Reject::Forgotten);
     assert_eq!(ledger.start(&evicted, NOW), forgotten);
     let blind = ledger.fence(&fence(&evicted, ballot(2, 1), false), NOW);
     assert_eq!(blind, Err(Reject::Forgotten));
@@ -209,7 +209,7 @@
         task: Task(1),
         ..start.clone()
     };
-    let rejected = Verdict::Rejected(Reject::Leaving);
+    let rejected = StartDecision::Rejected(Reject::Leaving);
     assert_eq!(leaving.start(&other, NOW), rejected);
     let later = fence(&start, ballot(2, 1), false);
     let mut sent = leaving.hand_over(&View::new(5, (1..5).map(agent)));
@@ -250,7 +250,7 @@
 fn repeatable_starts_are_not_recorded() {
     let mut ledger = ledger();
     let start = start(1, ballot(Ballot::UNCLAIMED, 1));
-    assert_eq!(ledger.start(&start, NOW), Verdict::Run);
-    assert_eq!(ledger.start(&start, NOW), Verdict::Run);
+    assert_eq!(ledger.start(&start, NOW), StartDecision::Run);
+    assert_eq!(ledger.start(&start, NOW), StartDecision::Run);
     assert_eq!(ledger.bytes(), 0);
 }
--- a/crates/cassiarock-claim/tests/sim/agent.rs
+++ b/crates/cassiarock-claim/tests/sim/agent.rs
@@ -2,7 +2,7 @@
 
 use super::{Body, KEPT, Message, Version, clock};
 use crate::claim::keeper::Keeper;
-use crate::claim::ledger::{Cancelled, Ledger, Verdict};
+use crate::claim::ledger::{CancelDecision, Ledger, StartDecision};
 use crate::claim::message::{Cancel, Fence, Outcome, Reject, Start};
 use crate::claim::view::View;
 use crate::claim::{Ballot, Limit};
@@ -185,22 +185,22 @@
             Body::Rejected(start.job, ballot, start.task, start.placement, reject)
         };
         match self.ledger.start(start, now) {
-            Verdict::Run if self.queue.len() >= QUEUE => {
+            StartDecision::Run if self.queue.len() >= QUEUE => {
                 self.ledger.refuse(start);
                 Some(rejected(Reject::Full))
             }
-            Verdict::Run => {
+            StartDecision::Run => {
                 self.queue.push((start.job, start.task, start.digest));
                 None
             }
-            Verdict::Attached => None,
-            Verdict::Ended(outcome) => Some(Body::Ended(
+            StartDecision::Attached => None,
+            StartDecision::Ended(outcome) => Some(Body::Ended(
                 start.job,
                 start.ballot.clone(),
                 start.task,
                 outcome,
             )),
-            Verdict::Rejected(reject) => Some(rejected(reject)),
+            StartDecision::Rejected(reject) => Some(rejected(reject)),
         }
     }
 
@@ -211,16 +211,16 @@
             Some(Body::Rejected(job, ballot, task, cancel.placement, reject))
         };
         match self.ledger.cancel(cancel) {
-            Cancelled::Never => {
+            CancelDecision::Never => {
                 self.queue
                     .retain(|(other, queued, _)| (*other, *queued) != (job, task));
                 rejected(Reject::Cancelled)
             }
-            Cancelled::Running => None,
-            Cancelled::Ended(outcome) => {
+            CancelDecision::Running => None,
+            CancelDecision::Ended(outcome) => {
                 Some(Body::Ended(job, cancel.ballot.clone(), task, outcome))
             }
-            Cancelled::Rejected(reject) => rejected(reject),
+            CancelDecision::Rejected(reject) => rejected(reject),
         }
     }
 
