--- a/crates/cassiarock-agent/src/state/claims.rs
+++ b/crates/cassiarock-agent/src/state/claims.rs
@@ -4,7 +4,7 @@
 use super::{Action, State};
 use crate::actor::Handover;
 use cassiarock_claim::Ballot;
-use cassiarock_claim::message::{Answer, Ask, Fence, Reject, Report};
+use cassiarock_claim::message::{ClaimReply, ClaimRequest, Fence, FenceReport, Reject};
 use cassiarock_claim::view::View;
 use cassiarock_id::{Job, Name, Process};
 use cassiarock_policy::place::Key;
@@ -16,11 +16,11 @@
 const COPIES: usize = 2;
 
 impl State {
-    pub(super) fn ask(&mut self, entry: &Process, ask: &Ask, now: Now) -> Vec<Action> {
+    pub(super) fn ask(&mut self, entry: &Process, ask: &ClaimRequest, now: Now) -> Vec<Action> {
         let answer = self.keeper.answer(ask, &self.view, now.wall);
         log::debug!(job:% = ask.job, entry:% = entry, answer:? = answer; "claim");
         let owner = match &answer {
-            Answer::Owned(owner) => self.address(owner),
+            ClaimReply::Owned(owner) => self.address(owner),
             _ => None,
         };
         let answered = Answered {
@@ -57,7 +57,7 @@
         let owner = report
             .as_ref()
             .ok()
-            .and_then(|r: &Report| self.address(&r.ballot));
+            .and_then(|r: &FenceReport| self.address(&r.ballot));
         let reported = Reported {
             job: fence.job,
             ballot: fence.ballot.clone(),
--- a/crates/cassiarock-claim/examples/costs.rs
+++ b/crates/cassiarock-claim/examples/costs.rs
@@ -6,7 +6,7 @@
 
 use cassiarock_claim::keeper::Keeper;
 use cassiarock_claim::ledger::{Ledger, StartDecision};
-use cassiarock_claim::message::{Answer, Ask, Outcome, Purpose, Start};
+use cassiarock_claim::message::{ClaimReply, ClaimRequest, Outcome, Purpose, Start};
 use cassiarock_claim::owner::{Action, Event, Owner};
 use cassiarock_claim::view::{Settlement, Timing, View};
 use cassiarock_claim::{Ballot, Limit};
@@ -193,7 +193,7 @@
         for bits in 0..JOBS {
             let ask = ask(Job::with_bits(NOW, u64::from(bits)));
             let answer = keeper.answer(&ask, &view, NOW);
-            assert!(matches!(answer, Answer::Granted(_)));
+            assert!(matches!(answer, ClaimReply::Granted(_)));
         }
         began.elapsed() / JOBS
     };
@@ -246,8 +246,8 @@
     keeper
 }
 
-fn ask(job: Job) -> Ask {
-    Ask {
+fn ask(job: Job) -> ClaimRequest {
+    ClaimRequest {
         job,
         digest: 9,
         purpose: Purpose::Claim,
--- a/crates/cassiarock-claim/src/keeper/book.rs
+++ b/crates/cassiarock-claim/src/keeper/book.rs
@@ -2,7 +2,7 @@
 
 use crate::guard;
 use crate::limit::{Floor, MAP_ROOM, NAME_BYTES};
-use crate::message::{Answer, Ask, Purpose, Record};
+use crate::message::{ClaimRecord, ClaimReply, ClaimRequest, Purpose};
 use crate::view::View;
 use crate::{Ballot, Limit};
 use cassiarock_id::{Job, Process, Wall};
@@ -10,13 +10,13 @@
 use std::mem::size_of;
 
 /// A claim's share of memory, its place in the map included.
-const RECORD_BYTES: usize = MAP_ROOM * (size_of::<Job>() + size_of::<Record>()) + NAME_BYTES;
+const RECORD_BYTES: usize = MAP_ROOM * (size_of::<Job>() + size_of::<ClaimRecord>()) + NAME_BYTES;
 
 /// The claims kept by one agent.
 ///
 /// ```
 /// use cassiarock_claim::keeper::Keeper;
-/// use cassiarock_claim::message::{Answer, Ask, Purpose};
+/// use cassiarock_claim::message::{ClaimReply, ClaimRequest, Purpose};
 /// use cassiarock_claim::view::View;
 /// use cassiarock_claim::{Ballot, Limit};
 /// use cassiarock_id::{Job, Process, Wall};
@@ -26,7 +26,7 @@
 /// let view = View::new(1, [me.clone()]);
 /// let mut keeper = Keeper::new(me, Limit::new(Duration::from_secs(600), 1 << 20));
 /// let now = Wall::from_millis(1_000_000);
-/// let ask = Ask {
+/// let ask = ClaimRequest {
 ///     job: Job::with_bits(now, 1),
 ///     digest: 9,
 ///     purpose: Purpose::Claim,
@@ -34,13 +34,13 @@
 ///     native: true,
 ///     ballot: Ballot::new(Ballot::FRESH, Process::new("entry-1", 1)),
 /// };
-/// let granted = Answer::Granted(ask.ballot.clone());
+/// let granted = ClaimReply::Granted(ask.ballot.clone());
 /// assert_eq!(keeper.answer(&ask, &view, now), granted);
-/// let second = Ask {
+/// let second = ClaimRequest {
 ///     ballot: Ballot::new(Ballot::FRESH, Process::new("entry-2", 1)),
 ///     ..ask.clone()
 /// };
-/// let owned = Answer::Owned(ask.ballot);
+/// let owned = ClaimReply::Owned(ask.ballot);
 /// assert_eq!(keeper.answer(&second, &view, now), owned);
 /// ```
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     /// Whether all claims were handed over to others.
     handed: bool,
     /// Ordered by issue time, so that eviction takes the oldest first.
-    jobs: BTreeMap<Job, Record>,
+    jobs: BTreeMap<Job, ClaimRecord>,
 }
 
 impl Keeper {
@@ -70,19 +70,19 @@
     }
 
     /// Answers an entry under this agent's present view.
-    pub fn answer(&mut self, ask: &Ask, view: &View, now: Wall) -> Answer {
+    pub fn answer(&mut self, ask: &ClaimRequest, view: &View, now: Wall) -> ClaimReply {
         self.latest = self.latest.max(now);
         // One process that keeps the job in both views orders its claims by itself; where
         // another keeper is in question, both sides must mean the same view.
         let keeps = view.keeper(ask.job) == Some(&self.me);
         if self.handed || !keeps && !guard::same_view(ask.view, view.version) {
-            return Answer::View(view.version);
+            return ClaimReply::View(view.version);
         }
         if let Some(record) = self.jobs.get_mut(&ask.job) {
             return repeat(record, ask);
         }
         if self.is_forgotten(ask.job) {
-            return Answer::Forgotten;
+            return ClaimReply::Forgotten;
         }
         self.first(ask, guard::native(ask.native))
     }
@@ -106,10 +106,10 @@
     /// let mut keeper = Keeper::new(me.clone(), limit);
     /// assert!(keeper.hand_over(&View::new(1, [me])).is_empty());
     /// ```
-    pub fn hand_over(&mut self, view: &View) -> Vec<(Process, Vec<Record>)> {
+    pub fn hand_over(&mut self, view: &View) -> Vec<(Process, Vec<ClaimRecord>)> {
         self.handed = true;
         let rest = view.without(&self.me);
-        let mut sent: BTreeMap<Process, Vec<Record>> = BTreeMap::new();
+        let mut sent: BTreeMap<Process, Vec<ClaimRecord>> = BTreeMap::new();
         for record in self.jobs.values() {
             let Some(next) = rest.keeper(record.job) else {
                 continue;
@@ -121,7 +121,7 @@
 
     /// Takes over claims from a leaving keeper. Of two records of one job the higher
     /// attempt stays; a closed job stays closed.
-    pub fn take(&mut self, records: Vec<Record>) {
+    pub fn take(&mut self, records: Vec<ClaimRecord>) {
         for record in records {
             match self.jobs.get_mut(&record.job) {
                 Some(known) => merge(known, record),
@@ -155,16 +155,16 @@
         self.jobs.len() * RECORD_BYTES
     }
 
-    fn first(&mut self, ask: &Ask, native: bool) -> Answer {
+    fn first(&mut self, ask: &ClaimRequest, native: bool) -> ClaimReply {
         let above = ask.ballot.clone().with_round(Ballot::FRESH + 1);
         let fresh = ask.ballot.clone().with_round(Ballot::FRESH);
         let owner = match ask.purpose {
-            Purpose::Refuse if !native => return Answer::Gather(above),
+            Purpose::Refuse if !native => return ClaimReply::Gather(above),
             Purpose::TakeOver { over } => raised(&above, over),
             _ if native => fresh,
             Purpose::Claim | Purpose::Refuse => above,
         };
-        let record = Record {
+        let record = ClaimRecord {
             job: ask.job,
             digest: ask.digest,
             owner,
@@ -181,9 +181,9 @@
 }
 
 /// Answers for a job that has a record.
-fn repeat(record: &mut Record, ask: &Ask) -> Answer {
+fn repeat(record: &mut ClaimRecord, ask: &ClaimRequest) -> ClaimReply {
     if record.digest != ask.digest {
-        return Answer::Mismatch;
+        return ClaimReply::Mismatch;
     }
     let mine = guard::same_attempt(&ask.ballot, &record.owner);
     match ask.purpose {
@@ -202,18 +202,18 @@
 }
 
 /// What the record says to its owner, or to another entry.
-fn state(record: &Record, mine: bool) -> Answer {
+fn state(record: &ClaimRecord, mine: bool) -> ClaimReply {
     let owner = record.owner.clone();
     if record.closed {
-        return Answer::Closed;
+        return ClaimReply::Closed;
     }
     if !mine {
-        return Answer::Owned(owner);
+        return ClaimReply::Owned(owner);
     }
     if owner.round == Ballot::FRESH {
-        Answer::Granted(owner)
+        ClaimReply::Granted(owner)
     } else {
-        Answer::Gather(owner)
+        ClaimReply::Gather(owner)
     }
 }
 
@@ -222,7 +222,7 @@
     ballot.clone().with_round(round)
 }
 
-fn merge(known: &mut Record, other: Record) {
+fn merge(known: &mut ClaimRecord, other: ClaimRecord) {
     known.closed |= other.closed;
     if other.owner > known.owner {
         known.owner = other.owner;
--- a/crates/cassiarock-claim/src/ledger/fence.rs
+++ b/crates/cassiarock-claim/src/ledger/fence.rs
@@ -4,7 +4,7 @@
 use super::record::{Record, Slot, Stage};
 use crate::Ballot;
 use crate::guard;
-use crate::message::{Cancel, Fence, Outcome, Reject, Report};
+use crate::message::{Cancel, Fence, FenceReport, Outcome, Reject};
 use cassiarock_id::{Job, Task, Wall};
 
 /// What the agent does with a cancellation.
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AcceptedFence {
     /// The answer to the entry.
-    pub report: Report,
+    pub report: FenceReport,
     /// Tasks that waited under lower attempts: take them from the queue.
     pub withdrawn: Vec<Task>,
 }
@@ -112,7 +112,7 @@
 
     fn report(&self, job: Job, withdrawn: Vec<Task>) -> AcceptedFence {
         let record = &self.jobs[&job];
-        let report = Report {
+        let report = FenceReport {
             job,
             ballot: record.fence.clone(),
             view: self.view,
--- a/crates/cassiarock-claim/src/ledger/handover.rs
+++ b/crates/cassiarock-claim/src/ledger/handover.rs
@@ -4,7 +4,7 @@
 use super::book::Ledger;
 use super::record::{Record, Slot, Stage};
 use crate::Ballot;
-use crate::message::{Kept, Outcome};
+use crate::message::{LedgerRecord, Outcome};
 use crate::view::View;
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeMap;
@@ -37,13 +37,14 @@
     /// let mut ledger = Ledger::new(me.clone(), limit);
     /// assert!(ledger.hand_over(&View::new(1, [me])).is_empty());
     /// ```
-    pub fn hand_over(&mut self, view: &View) -> Vec<(Process, Vec<Kept>)> {
+    pub fn hand_over(&mut self, view: &View) -> Vec<(Process, Vec<LedgerRecord>)> {
         self.leave();
         self.handed = true;
         let rest = view.without(&self.me);
         // The floor must reach agents of which every gather meets one.
         let first = rest.members.iter().take(COPIES);
-        let mut sent: BTreeMap<_, Vec<Kept>> = first.map(|to| (to.clone(), Vec::new())).collect();
+        let mut sent: BTreeMap<_, Vec<LedgerRecord>> =
+            first.map(|to| (to.clone(), Vec::new())).collect();
         for (job, record) in &self.jobs {
             for agent in rest.ranked(*job).into_iter().take(COPIES) {
                 sent.entry(agent.clone())
@@ -73,7 +74,7 @@
 
     /// Takes over what a leaving agent knew, and its [`Ledger::floor`]. Jobs that this ledger may have forgotten
     /// are left out: their fences are answered "forgotten".
-    pub fn take(&mut self, records: Vec<Kept>, floor: Wall) {
+    pub fn take(&mut self, records: Vec<LedgerRecord>, floor: Wall) {
         self.inherited.raise(floor);
         for kept in records {
             if self.jobs.contains_key(&kept.job) || !self.floor.covers(kept.job) {
@@ -82,7 +83,7 @@
         }
     }
 
-    fn merge(&mut self, kept: Kept) {
+    fn merge(&mut self, kept: LedgerRecord) {
         let job = kept.job;
         let record = self.open(job, kept.digest, &kept.fence, kept.view);
         record.view = record.view.max(kept.view);
@@ -117,13 +118,13 @@
     record.tasks.insert(task, slot);
 }
 
-fn kept(job: Job, record: &Record) -> Kept {
+fn kept(job: Job, record: &Record) -> LedgerRecord {
     let ended = |(task, slot): (Task, &Slot)| match &slot.stage {
         Stage::Ended(outcome) => Some((task, outcome.clone())),
         Stage::Running => Some((task, Outcome::Lost(CUT.to_owned()))),
         Stage::Waiting | Stage::Void => None,
     };
-    Kept {
+    LedgerRecord {
         job,
         digest: record.digest,
         fence: record.fence.clone(),
--- a/crates/cassiarock-claim/src/ledger/record.rs
+++ b/crates/cassiarock-claim/src/ledger/record.rs
@@ -3,7 +3,7 @@
 use super::slots::Slots;
 use crate::Ballot;
 use crate::limit::{MAP_ROOM, NAME_BYTES};
-use crate::message::{Cancel, Outcome, State};
+use crate::message::{Cancel, Outcome, TaskState};
 use cassiarock_id::{Job, Task};
 use std::mem::size_of;
 
@@ -88,10 +88,10 @@
     }
 
     /// What a fence reports.
-    pub(super) fn states(&self) -> Vec<(Task, State)> {
+    pub(super) fn states(&self) -> Vec<(Task, TaskState)> {
         let state = |slot: &Slot| match &slot.stage {
-            Stage::Waiting | Stage::Running => Some(State::Running),
-            Stage::Ended(outcome) => Some(State::Ended(outcome.clone())),
+            Stage::Waiting | Stage::Running => Some(TaskState::Running),
+            Stage::Ended(outcome) => Some(TaskState::Ended(outcome.clone())),
             Stage::Void => None,
         };
         let known = |(task, slot): (Task, &Slot)| Some((task, state(slot)?));
--- a/crates/cassiarock-claim/src/message/keeper.rs
+++ b/crates/cassiarock-claim/src/message/keeper.rs
@@ -6,7 +6,7 @@
 
 /// What an entry asks the keeper of a job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// The job.
     pub job: Job,
     /// Hash over the submission's tasks: a resubmission must be the same job.
@@ -38,7 +38,7 @@
 
 /// The keeper's answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Answer {
+pub enum ClaimReply {
     /// The entry owns the job under this ballot and may start tasks at once.
     Granted(Ballot),
     /// The entry must fence every agent under this ballot (or a higher one that the
@@ -59,7 +59,7 @@
 
 /// What a keeper remembers of one job, and hands over when it leaves.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Record {
+pub struct ClaimRecord {
     /// The job.
     pub job: Job,
     /// Hash over the submission's tasks.
--- a/crates/cassiarock-claim/src/message/ledger.rs
+++ b/crates/cassiarock-claim/src/message/ledger.rs
@@ -116,7 +116,7 @@
 
 /// What a ledger knows of a task.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum State {
+pub enum TaskState {
     /// Begun, or waiting here under the attempt that asks.
     Running,
     /// Ended.
@@ -125,7 +125,7 @@
 
 /// An agent's answer to a fence: from now on it rejects every lower attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Report {
+pub struct FenceReport {
     /// The job.
     pub job: Job,
     /// The highest attempt that the agent has seen; equal to the fence's if it took effect.
@@ -135,12 +135,12 @@
     /// Whether the job is closed here.
     pub closed: bool,
     /// Every task of the job that was started here, or that a leaving agent handed over.
-    pub tasks: Vec<(Task, State)>,
+    pub tasks: Vec<(Task, TaskState)>,
 }
 
 /// What a leaving agent hands over of one job's ledger.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Kept {
+pub struct LedgerRecord {
     /// The job.
     pub job: Job,
     /// Hash over the submission's tasks.
--- a/crates/cassiarock-claim/src/message/mod.rs
+++ b/crates/cassiarock-claim/src/message/mod.rs
@@ -3,5 +3,5 @@
 mod keeper;
 mod ledger;
 
-pub use keeper::{Answer, Ask, Purpose, Record};
-pub use ledger::{Cancel, Fence, Kept, Outcome, Reject, Report, Start, State};
+pub use keeper::{ClaimRecord, ClaimReply, ClaimRequest, Purpose};
+pub use ledger::{Cancel, Fence, FenceReport, LedgerRecord, Outcome, Reject, Start, TaskState};
--- a/crates/cassiarock-claim/src/owner/asking.rs
+++ b/crates/cassiarock-claim/src/owner/asking.rs
@@ -3,7 +3,7 @@
 use super::event::{Action, Reason};
 use super::machine::{Owner, Phase};
 use crate::Ballot;
-use crate::message::{Answer, Ask, Purpose};
+use crate::message::{ClaimReply, ClaimRequest, Purpose};
 use crate::view::Settlement;
 use cassiarock_id::Wall;
 
@@ -15,7 +15,7 @@
         let Some(keeper) = scope.keeper.clone() else {
             return self.blind(purpose, views);
         };
-        let ask = Ask {
+        let ask = ClaimRequest {
             job: self.job,
             digest: self.digest,
             purpose,
@@ -43,7 +43,7 @@
     pub(super) fn answered(
         &mut self,
         view: u64,
-        answer: Answer,
+        answer: ClaimReply,
         views: &Settlement,
         now: Wall,
     ) -> Vec<Action> {
@@ -55,28 +55,29 @@
             return Vec::new();
         }
         match answer {
-            Answer::Granted(ballot) if ballot == self.ballot => {
+            ClaimReply::Granted(ballot) if ballot == self.ballot => {
                 self.scope = Some(scope.clone());
                 self.own(views, now)
             }
-            Answer::Gather(ballot) if ballot.same_owner(&self.ballot) => {
+            ClaimReply::Gather(ballot) if ballot.same_owner(&self.ballot) => {
                 self.gather(ballot.round, views, now)
             }
-            Answer::Owned(owner) if !owner.same_owner(&self.ballot) => self.attach(owner),
+            ClaimReply::Owned(owner) if !owner.same_owner(&self.ballot) => self.attach(owner),
             // An owner without the keeper's grant has fenced the agents: no witness is to
             // be had, and only a gather tells what it started.
-            Answer::Closed if matches!(purpose, Purpose::TakeOver { .. }) => {
+            ClaimReply::Closed if matches!(purpose, Purpose::TakeOver { .. }) => {
                 self.unkept(views, now)
             }
-            Answer::Closed => {
+            ClaimReply::Closed => {
                 self.scope = Some(scope.clone());
                 self.close(views, now)
             }
-            Answer::Mismatch => self.mismatch(),
-            Answer::Forgotten => self.fail(Reason::Forgotten),
-            Answer::Granted(_) | Answer::Gather(_) | Answer::Owned(_) | Answer::View(_) => {
-                Vec::new()
-            }
+            ClaimReply::Mismatch => self.mismatch(),
+            ClaimReply::Forgotten => self.fail(Reason::Forgotten),
+            ClaimReply::Granted(_)
+            | ClaimReply::Gather(_)
+            | ClaimReply::Owned(_)
+            | ClaimReply::View(_) => Vec::new(),
         }
     }
 
--- a/crates/cassiarock-claim/src/owner/event.rs
+++ b/crates/cassiarock-claim/src/owner/event.rs
@@ -1,7 +1,9 @@
 //! What an owner is told and what it wants done.
 
 use crate::Ballot;
-use crate::message::{Answer, Ask, Cancel, Fence, Outcome, Reject, Report, Start};
+use crate::message::{
+    Cancel, ClaimReply, ClaimRequest, Fence, FenceReport, Outcome, Reject, Start,
+};
 use cassiarock_id::{Process, Task};
 
 /// Something that happened to the job.
@@ -23,14 +25,14 @@
         /// The view that the ask carried.
         view: u64,
         /// What was answered.
-        answer: Answer,
+        answer: ClaimReply,
     },
     /// An agent's answer to this attempt's fence.
     Report {
         /// Who reports.
         agent: Process,
         /// What it knows.
-        report: Report,
+        report: FenceReport,
     },
     /// An agent did not accept this attempt's fence.
     Unfenced {
@@ -75,7 +77,7 @@
         /// The keeper.
         keeper: Process,
         /// The question.
-        ask: Ask,
+        ask: ClaimRequest,
     },
     /// Send to an agent.
     Fence {
--- a/crates/cassiarock-claim/src/owner/gather.rs
+++ b/crates/cassiarock-claim/src/owner/gather.rs
@@ -6,7 +6,7 @@
 use super::task::Stand;
 use crate::Ballot;
 use crate::guard;
-use crate::message::{Fence, Purpose, Reject, Report, State};
+use crate::message::{Fence, FenceReport, Purpose, Reject, TaskState};
 use crate::view::{Scope, Settlement};
 use cassiarock_id::{Process, Task, Wall};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     /// The agents that have not reported yet.
     missing: BTreeSet<Process>,
     /// What the others reported.
-    found: BTreeMap<Task, (Process, State)>,
+    found: BTreeMap<Task, (Process, TaskState)>,
 }
 
 impl Owner {
@@ -59,7 +59,7 @@
     pub(super) fn reported(
         &mut self,
         agent: &Process,
-        report: Report,
+        report: FenceReport,
         views: &Settlement,
         now: Wall,
     ) -> Vec<Action> {
@@ -179,7 +179,7 @@
     fn gathered(
         &mut self,
         agent: &Process,
-        report: Report,
+        report: FenceReport,
         views: &Settlement,
         now: Wall,
     ) -> Vec<Action> {
@@ -207,8 +207,8 @@
 impl Gather {
     /// Notes a reported task. A leaving agent's end is reported by two others; an end
     /// goes before a state that is still open.
-    fn note(&mut self, task: Task, agent: &Process, state: State) {
-        let ended = matches!(self.found.get(&task), Some((_, State::Ended(_))));
+    fn note(&mut self, task: Task, agent: &Process, state: TaskState) {
+        let ended = matches!(self.found.get(&task), Some((_, TaskState::Ended(_))));
         if !ended {
             self.found.insert(task, (agent.clone(), state));
         }
@@ -223,9 +223,9 @@
     }
 }
 
-pub(super) fn stand(agent: Process, state: State) -> Stand {
+pub(super) fn stand(agent: Process, state: TaskState) -> Stand {
     match state {
-        State::Running => Stand::Running { agent },
-        State::Ended(outcome) => Stand::Ended(outcome),
+        TaskState::Running => Stand::Running { agent },
+        TaskState::Ended(outcome) => Stand::Ended(outcome),
     }
 }
--- a/crates/cassiarock-claim/src/owner/machine.rs
+++ b/crates/cassiarock-claim/src/owner/machine.rs
@@ -37,7 +37,7 @@
 /// where, is the caller's business.
 ///
 /// ```
-/// use cassiarock_claim::message::{Answer, Outcome};
+/// use cassiarock_claim::message::{ClaimReply, Outcome};
 /// use cassiarock_claim::owner::{Action, End, Event, Owner};
 /// use cassiarock_claim::view::{Settlement, Timing, View};
 /// use cassiarock_claim::Ballot;
@@ -58,7 +58,7 @@
 /// let mut owner = Owner::new(Job::with_bits(now, 1), 9, 1, mine.clone());
 /// let asked = owner.step(Event::Submitted, &views, now);
 /// assert!(matches!(asked[..], [Action::Ask { .. }]));
-/// let granted = Event::Answer { view: 1, answer: Answer::Granted(mine) };
+/// let granted = Event::Answer { view: 1, answer: ClaimReply::Granted(mine) };
 /// assert_eq!(owner.step(granted, &views, now), [Action::Place]);
 /// let ballot = owner.ballot().clone();
 /// let agent = agents.iter().find(|agent| owner.may_use(agent, &views)).unwrap();
--- a/crates/cassiarock-claim/src/owner/running.rs
+++ b/crates/cassiarock-claim/src/owner/running.rs
@@ -5,7 +5,7 @@
 use super::machine::{Owner, Phase};
 use super::task::Stand;
 use crate::Ballot;
-use crate::message::{Cancel, Outcome, Reject, Report};
+use crate::message::{Cancel, FenceReport, Outcome, Reject};
 use crate::view::Settlement;
 use cassiarock_id::{Process, Task, Wall};
 use std::collections::BTreeSet;
@@ -116,7 +116,7 @@
     pub(super) fn learned(
         &mut self,
         agent: &Process,
-        report: Report,
+        report: FenceReport,
         views: &Settlement,
         now: Wall,
     ) -> Vec<Action> {
--- a/crates/cassiarock-claim/src/owner/seal.rs
+++ b/crates/cassiarock-claim/src/owner/seal.rs
@@ -4,7 +4,7 @@
 
 use super::event::{Action, Reason};
 use super::machine::{Owner, Phase};
-use crate::message::{Reject, State};
+use crate::message::{Reject, TaskState};
 use crate::view::Settlement;
 use cassiarock_id::{Process, Wall};
 
@@ -46,8 +46,8 @@
         self.progress(views, now)
     }
 
-    pub(super) fn note_ran(&mut self, agent: &Process, state: &State) {
-        if matches!(state, State::Ended(_)) {
+    pub(super) fn note_ran(&mut self, agent: &Process, state: &TaskState) {
+        if matches!(state, TaskState::Ended(_)) {
             self.ran.insert(agent.clone());
         }
     }
--- a/crates/cassiarock-claim/tests/keeper.rs
+++ b/crates/cassiarock-claim/tests/keeper.rs
@@ -1,7 +1,7 @@
 //! The keeper's decisions.
 
 use cassiarock_claim::keeper::Keeper;
-use cassiarock_claim::message::{Answer, Ask, Purpose};
+use cassiarock_claim::message::{ClaimReply, ClaimRequest, Purpose};
 use cassiarock_claim::view::View;
 use cassiarock_claim::{Ballot, Limit};
 use cassiarock_id::{Job, Process, Wall};
@@ -26,8 +26,8 @@
     Ballot::new(round, Process::new(format!("entry-{entry}"), 1)).with_serial(1)
 }
 
-fn ask(entry: u64, purpose: Purpose) -> Ask {
-    Ask {
+fn ask(entry: u64, purpose: Purpose) -> ClaimRequest {
+    ClaimRequest {
         job: job(),
         digest: 9,
         purpose,
@@ -37,7 +37,7 @@
     }
 }
 
-fn answers(asks: &[Ask]) -> Vec<Answer> {
+fn answers(asks: &[ClaimRequest]) -> Vec<ClaimReply> {
     let view = agents();
     let mut keeper = keeper(view.keeper(job()).expect("members"));
     let answer = |ask| keeper.answer(ask, &view, NOW);
@@ -51,8 +51,8 @@
         ask(1, Purpose::Claim),
         ask(2, Purpose::Claim),
     ];
-    let granted = Answer::Granted(ballot(1, 1));
-    let expected = [granted.clone(), granted, Answer::Owned(ballot(1, 1))];
+    let granted = ClaimReply::Granted(ballot(1, 1));
+    let expected = [granted.clone(), granted, ClaimReply::Owned(ballot(1, 1))];
     assert_eq!(answers(&asks), expected);
 }
 
@@ -61,21 +61,24 @@
 #[test]
 fn a_later_owner_of_the_same_entry_is_not_granted_the_first_ones_ballot() {
     let first = ask(1, Purpose::Claim);
-    let second = Ask {
+    let second = ClaimRequest {
         ballot: first.ballot.clone().with_serial(2),
         ..ask(1, Purpose::Claim)
     };
-    let expected = [Answer::Granted(ballot(1, 1)), Answer::Owned(ballot(1, 1))];
+    let expected = [
+        ClaimReply::Granted(ballot(1, 1)),
+        ClaimReply::Owned(ballot(1, 1)),
+    ];
     assert_eq!(answers(&[first, second]), expected);
 }
 
 #[test]
 fn a_job_that_may_be_older_than_the_view_is_gathered() {
-    let late = Ask {
+    let late = ClaimRequest {
         native: false,
         ..ask(1, Purpose::Claim)
     };
-    assert_eq!(answers(&[late]), [Answer::Gather(ballot(2, 1))]);
+    assert_eq!(answers(&[late]), [ClaimReply::Gather(ballot(2, 1))]);
 }
 
 #[test]
@@ -87,11 +90,11 @@
         ask(3, over),
         ask(2, over),
     ];
-    let gather = Answer::Gather(ballot(2, 2));
+    let gather = ClaimReply::Gather(ballot(2, 2));
     let expected = [
-        Answer::Granted(ballot(1, 1)),
+        ClaimReply::Granted(ballot(1, 1)),
         gather.clone(),
-        Answer::Owned(ballot(2, 2)),
+        ClaimReply::Owned(ballot(2, 2)),
         gather,
     ];
     assert_eq!(answers(&asks), expected);
@@ -100,7 +103,7 @@
 #[test]
 fn a_closed_job_stays_closed() {
     let asks = [ask(1, Purpose::Refuse), ask(2, Purpose::Claim)];
-    assert_eq!(answers(&asks), [Answer::Closed, Answer::Closed]);
+    assert_eq!(answers(&asks), [ClaimReply::Closed, ClaimReply::Closed]);
 }
 
 #[test]
@@ -110,20 +113,20 @@
         ask(2, Purpose::Refuse),
         ask(1, Purpose::Refuse),
     ];
-    let granted = Answer::Granted(ballot(1, 1));
-    let expected = [granted, Answer::Owned(ballot(1, 1)), Answer::Closed];
+    let granted = ClaimReply::Granted(ballot(1, 1));
+    let expected = [granted, ClaimReply::Owned(ballot(1, 1)), ClaimReply::Closed];
     assert_eq!(answers(&asks), expected);
 }
 
 #[test]
 fn an_id_in_use_for_other_tasks_is_a_mismatch() {
-    let other = Ask {
+    let other = ClaimRequest {
         digest: 8,
         ..ask(1, Purpose::Claim)
     };
     assert_eq!(
         answers(&[ask(1, Purpose::Claim), other])[1],
-        Answer::Mismatch
+        ClaimReply::Mismatch
     );
 }
 
@@ -131,12 +134,12 @@
 fn an_agent_that_is_not_the_keeper_in_its_own_view_names_that_view() {
     let view = agents();
     let other = view.ranked(job())[1];
-    let older = Ask {
+    let older = ClaimRequest {
         view: 4,
         ..ask(1, Purpose::Claim)
     };
     let answer = keeper(other).answer(&older, &view, NOW);
-    assert_eq!(answer, Answer::View(5));
+    assert_eq!(answer, ClaimReply::View(5));
 }
 
 #[test]
@@ -148,7 +151,7 @@
     keeper.evict(late);
     assert_eq!(keeper.bytes(), 0);
     let answer = keeper.answer(&ask(2, Purpose::Claim), &view, late);
-    assert_eq!(answer, Answer::Forgotten);
+    assert_eq!(answer, ClaimReply::Forgotten);
 }
 
 #[test]
@@ -166,5 +169,5 @@
     let mut next = keeper(to);
     next.take(records.clone());
     let answer = next.answer(&ask(2, Purpose::Claim), &rest, NOW);
-    assert_eq!(answer, Answer::Owned(ballot(1, 1)));
+    assert_eq!(answer, ClaimReply::Owned(ballot(1, 1)));
 }
--- a/crates/cassiarock-claim/tests/ledger.rs
+++ b/crates/cassiarock-claim/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The start ledger's decisions.
 
 use cassiarock_claim::ledger::{CancelDecision, Ledger, StartDecision};
-use cassiarock_claim::message::{Cancel, Fence, Outcome, Reject, Start, State};
+use cassiarock_claim::message::{Cancel, Fence, Outcome, Reject, Start, TaskState};
 use cassiarock_claim::view::View;
 use cassiarock_claim::{Ballot, Limit};
 use cassiarock_id::{Job, Process, Task, Wall};
@@ -118,7 +118,7 @@
     let fenced = ledger.fence(&fence(&waiting, high.clone(), false), NOW);
     let fenced = fenced.unwrap();
     assert_eq!(fenced.withdrawn, [Task(0)]);
-    assert_eq!(fenced.report.tasks, [(Task(1), State::Running)]);
+    assert_eq!(fenced.report.tasks, [(Task(1), TaskState::Running)]);
     assert!(!ledger.begin(waiting.job, waiting.task));
     let told = ledger.end(running.job, running.task, done());
     assert_eq!(told, [ballot(1, 1), high.clone()]);
@@ -223,7 +223,7 @@
         next.take(kept, leaving.floor());
         let fenced = next.fence(&later, NOW);
         let tasks = fenced.unwrap().report.tasks;
-        assert_eq!(tasks, [(Task(0), State::Ended(done()))]);
+        assert_eq!(tasks, [(Task(0), TaskState::Ended(done()))]);
     }
 }
 
--- a/crates/cassiarock-claim/tests/owner.rs
+++ b/crates/cassiarock-claim/tests/owner.rs
@@ -1,7 +1,9 @@
 //! The owner's decisions, with an agent lost, late or leaving.
 
 use cassiarock_claim::Ballot;
-use cassiarock_claim::message::{Answer, Outcome, Purpose, Reject, Report, Start, State};
+use cassiarock_claim::message::{
+    ClaimReply, FenceReport, Outcome, Purpose, Reject, Start, TaskState,
+};
 use cassiarock_claim::owner::{Action, End, Event, Owner, Reason};
 use cassiarock_claim::view::{Settlement, Timing, View};
 use cassiarock_id::{Job, Process, Task, Wall};
@@ -49,7 +51,7 @@
         bench.step(Event::Submitted);
         let granted = bench.step(Event::Answer {
             view: 1,
-            answer: Answer::Granted(ballot(1)),
+            answer: ClaimReply::Granted(ballot(1)),
         });
         assert_eq!(granted, [Action::Place]);
         bench
@@ -137,14 +139,14 @@
     assert!(matches!(&asked[..], [Action::Ask { ask, .. }] if ask.purpose == Purpose::Refuse));
     let closed = Event::Answer {
         view: 1,
-        answer: Answer::Closed,
+        answer: ClaimReply::Closed,
     };
     let fenced = bench.step(closed);
     let [Action::Fence { agent, fence }] = &fenced[..] else {
         panic!("one witness expected: {fenced:?}");
     };
     assert!(fence.close);
-    let report = Report {
+    let report = FenceReport {
         job: fence.job,
         ballot: fence.ballot.clone(),
         view: 1,
@@ -178,12 +180,12 @@
         panic!("one witness expected: {closing:?}");
     };
     assert_eq!((witness, fence.close), (&ran, true));
-    let report = Report {
+    let report = FenceReport {
         job: fence.job,
         ballot: fence.ballot.clone(),
         view: 1,
         closed: true,
-        tasks: vec![(Task(0), State::Ended(done()))],
+        tasks: vec![(Task(0), TaskState::Ended(done()))],
     };
     let failed = End::Failed {
         reason: Reason::Cancelled,
--- a/crates/cassiarock-claim/tests/sim/mod.rs
+++ b/crates/cassiarock-claim/tests/sim/mod.rs
@@ -12,7 +12,8 @@
 
 use crate::claim::Ballot;
 use crate::claim::message::{
-    Answer, Ask, Cancel, Fence, Kept, Outcome, Record, Reject, Report, Start,
+    Cancel, ClaimRecord, ClaimReply, ClaimRequest, Fence, FenceReport, LedgerRecord, Outcome,
+    Reject, Start,
 };
 use crate::claim::owner::End;
 use crate::claim::view::View;
@@ -54,16 +55,16 @@
 pub enum Body {
     Ping(Wall),
     Pong(u64, Duration, Wall),
-    Ask(Ask),
-    Answer(Job, Ballot, u64, Answer),
+    Ask(ClaimRequest),
+    Answer(Job, Ballot, u64, ClaimReply),
     Fence(Fence),
-    Report(Report),
+    Report(FenceReport),
     Unfenced(Job, Ballot, Reject),
     Start(Start),
     Rejected(Job, Ballot, Task, u32, Reject),
     Ended(Job, Ballot, Task, Outcome),
     Cancel(Cancel),
-    HandOver(Vec<Record>, Vec<Kept>, Wall),
+    HandOver(Vec<ClaimRecord>, Vec<LedgerRecord>, Wall),
     TakenOver(bool),
     Attach(Job, Ballot),
     Whole(Job, Option<End>),
--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/guarded.rs
@@ -2,7 +2,7 @@
 
 use super::work::{Plan, Stop, Work};
 use super::{Action, State, answer, calls};
-use cassiarock_claim::message::{Ask, Outcome, Start};
+use cassiarock_claim::message::{ClaimRequest, Outcome, Start};
 use cassiarock_claim::owner::{self, Event};
 use cassiarock_id::{Job, Process, Task};
 use cassiarock_policy::dispatch::End;
@@ -216,7 +216,7 @@
     }
 
     /// Asks the keeper, or does without it at once if it is out of reach.
-    fn ask(&mut self, keeper: Process, ask: Ask, now: Now) -> Vec<Action> {
+    fn ask(&mut self, keeper: Process, ask: ClaimRequest, now: Now) -> Vec<Action> {
         if self.agents.contains_key(&keeper) {
             metrics::counter!("cassiarock_entry_asks_total").increment(1);
             return vec![Action::Send(keeper, Frame::Ask(ask))];
--- a/crates/cassiarock-wire/src/frame.rs
+++ b/crates/cassiarock-wire/src/frame.rs
@@ -4,7 +4,7 @@
     Answered, Ended, Found, HandOver, Hello, Ping, Pong, Rejected, Reported, Run, TakenOver, Whole,
 };
 use cassiarock_claim::Ballot;
-use cassiarock_claim::message::{Ask, Cancel, Fence};
+use cassiarock_claim::message::{Cancel, ClaimRequest, Fence};
 use cassiarock_id::{Job, Name, Process};
 use cassiarock_policy::admit::Usage;
 use cassiarock_policy::note;
@@ -36,7 +36,7 @@
     /// Entry to agent: take back a placement.
     Cancel(Cancel),
     /// Entry to keeper.
-    Ask(Ask),
+    Ask(ClaimRequest),
     /// Keeper to entry.
     Answered(Answered),
     /// Entry to agent: fence and report.
--- a/crates/cassiarock-wire/src/work.rs
+++ b/crates/cassiarock-wire/src/work.rs
@@ -1,7 +1,9 @@
 //! The messages about tasks and load that entries and agents exchange.
 
 use cassiarock_claim::Ballot;
-use cassiarock_claim::message::{Answer, Kept, Outcome, Record, Reject, Report, Start};
+use cassiarock_claim::message::{
+    ClaimRecord, ClaimReply, FenceReport, LedgerRecord, Outcome, Reject, Start,
+};
 use cassiarock_id::{Job, Name, Process, Task, Wall};
 use cassiarock_policy::note::Load;
 use serde::{Deserialize, Serialize};
@@ -134,7 +136,7 @@
     /// The view that the ask carried.
     pub view: u64,
     /// The answer.
-    pub answer: Answer,
+    pub answer: ClaimReply,
     /// Where the owner that the answer names takes links, if the keeper is linked to it.
     pub owner: Option<Name>,
 }
@@ -158,7 +160,7 @@
     /// The attempt of the fence.
     pub ballot: Ballot,
     /// The report, or why the fence did not take effect.
-    pub report: Result<Report, Reject>,
+    pub report: Result<FenceReport, Reject>,
     /// Where the highest attempt's entry takes links, if the agent is linked to it.
     pub owner: Option<Name>,
 }
@@ -179,9 +181,9 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HandOver {
     /// Claims that the receiver keeps from now on.
-    pub claims: Vec<Record>,
+    pub claims: Vec<ClaimRecord>,
     /// What the ledger knew.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<LedgerRecord>,
     /// Jobs issued up to then may have run there and been forgotten.
     pub floor: Wall,
 }
--- a/examples/capacity/decisions.rs
+++ b/examples/capacity/decisions.rs
@@ -2,7 +2,7 @@
 
 use cassiarock_claim::keeper::Keeper;
 use cassiarock_claim::ledger::Ledger;
-use cassiarock_claim::message::{Ask, Outcome, Purpose, Start};
+use cassiarock_claim::message::{ClaimRequest, Outcome, Purpose, Start};
 use cassiarock_claim::view::View;
 use cassiarock_claim::{Ballot, Limit};
 use cassiarock_id::{Job, Process, Task, Wall};
@@ -38,7 +38,7 @@
     let ballot = Ballot::new(Ballot::FRESH, Process::new("entry-0", 1));
     let began = Instant::now();
     for bits in 0..COUNT {
-        let ask = Ask {
+        let ask = ClaimRequest {
             job: Job::with_bits(now, bits),
             digest: bits,
             purpose: Purpose::Claim,
