--- a/crates/cassiarock-claim/examples/costs.rs
+++ b/crates/cassiarock-claim/examples/costs.rs
@@ -75,14 +75,14 @@
     while let Some(event) = events.pop() {
         for action in owner.step(event, &cluster.views, NOW) {
             match action {
-                Action::Ask { keeper, ask } => {
+                Action::RequestClaim { keeper, request } => {
                     messages += 2;
                     let Some((_, claims)) = cluster.agents.get_mut(&keeper) else {
                         continue;
                     };
-                    let answer = claims.answer(&ask, &cluster.view, NOW);
-                    let view = ask.view;
-                    events.push(Event::Answer { view, answer });
+                    let reply = claims.answer(&request, &cluster.view, NOW);
+                    let view = request.view;
+                    events.push(Event::ClaimReply { view, reply });
                 }
                 Action::Fence { agent, fence } => {
                     messages += 2;
@@ -124,7 +124,7 @@
         let Some(keeper) = cluster.view.keeper(job).cloned() else {
             continue;
         };
-        lost = 1 + drive(&mut cluster, &mut alone, Event::Lost(keeper));
+        lost = 1 + drive(&mut cluster, &mut alone, Event::AgentUnreachable(keeper));
     }
     let time = spread(times);
     println!(
--- a/crates/cassiarock-claim/src/keeper/book.rs
+++ b/crates/cassiarock-claim/src/keeper/book.rs
@@ -26,7 +26,7 @@
 /// let view = View::new(1, [me.clone()]);
 /// let mut keeper = Keeper::new(me, Limit::new(Duration::from_secs(600), 1 << 20));
 /// let now = Wall::from_millis(1_000_000);
-/// let ask = ClaimRequest {
+/// let request = ClaimRequest {
 ///     job: Job::with_bits(now, 1),
 ///     digest: 9,
 ///     purpose: Purpose::Claim,
@@ -34,13 +34,13 @@
 ///     native: true,
 ///     ballot: Ballot::new(Ballot::FRESH, Process::new("entry-1", 1)),
 /// };
-/// let granted = ClaimReply::Granted(ask.ballot.clone());
-/// assert_eq!(keeper.answer(&ask, &view, now), granted);
+/// let granted = ClaimReply::Granted(request.ballot.clone());
+/// assert_eq!(keeper.answer(&request, &view, now), granted);
 /// let second = ClaimRequest {
 ///     ballot: Ballot::new(Ballot::FRESH, Process::new("entry-2", 1)),
-///     ..ask.clone()
+///     ..request.clone()
 /// };
-/// let owned = ClaimReply::Owned(ask.ballot);
+/// let owned = ClaimReply::Owned(request.ballot);
 /// assert_eq!(keeper.answer(&second, &view, now), owned);
 /// ```
 #[derive(Debug)]
@@ -70,21 +70,21 @@
     }
 
     /// Answers an entry under this agent's present view.
-    pub fn answer(&mut self, ask: &ClaimRequest, view: &View, now: Wall) -> ClaimReply {
+    pub fn answer(&mut self, request: &ClaimRequest, view: &View, now: Wall) -> ClaimReply {
         self.latest = self.latest.max(now);
         // One process that keeps the job in both views orders its claims by itself; where
         // another keeper is in question, both sides must mean the same view.
-        let keeps = view.keeper(ask.job) == Some(&self.me);
-        if self.handed || !keeps && !guard::same_view(ask.view, view.version) {
+        let keeps = view.keeper(request.job) == Some(&self.me);
+        if self.handed || !keeps && !guard::same_view(request.view, view.version) {
             return ClaimReply::View(view.version);
         }
-        if let Some(record) = self.jobs.get_mut(&ask.job) {
-            return repeat(record, ask);
+        if let Some(record) = self.jobs.get_mut(&request.job) {
+            return repeat(record, request);
         }
-        if self.is_forgotten(ask.job) {
+        if self.is_forgotten(request.job) {
             return ClaimReply::Forgotten;
         }
-        self.first(ask, guard::native(ask.native))
+        self.first(request, guard::native(request.native))
     }
 
     /// The attempt that owns the job, as far as this keeper knows.
@@ -155,23 +155,23 @@
         self.jobs.len() * RECORD_BYTES
     }
 
-    fn first(&mut self, ask: &ClaimRequest, native: bool) -> ClaimReply {
-        let above = ask.ballot.clone().with_round(Ballot::FRESH + 1);
-        let fresh = ask.ballot.clone().with_round(Ballot::FRESH);
-        let owner = match ask.purpose {
+    fn first(&mut self, request: &ClaimRequest, native: bool) -> ClaimReply {
+        let above = request.ballot.clone().with_round(Ballot::FRESH + 1);
+        let fresh = request.ballot.clone().with_round(Ballot::FRESH);
+        let owner = match request.purpose {
             Purpose::Refuse if !native => return ClaimReply::Gather(above),
             Purpose::TakeOver { over } => raised(&above, over),
             _ if native => fresh,
             Purpose::Claim | Purpose::Refuse => above,
         };
         let record = ClaimRecord {
-            job: ask.job,
-            digest: ask.digest,
+            job: request.job,
+            digest: request.digest,
             owner,
-            closed: ask.purpose == Purpose::Refuse,
+            closed: request.purpose == Purpose::Refuse,
         };
         let answer = state(&record, true);
-        self.jobs.insert(ask.job, record);
+        self.jobs.insert(request.job, record);
         answer
     }
 
@@ -181,19 +181,19 @@
 }
 
 /// Answers for a job that has a record.
-fn repeat(record: &mut ClaimRecord, ask: &ClaimRequest) -> ClaimReply {
-    if record.digest != ask.digest {
+fn repeat(record: &mut ClaimRecord, request: &ClaimRequest) -> ClaimReply {
+    if record.digest != request.digest {
         return ClaimReply::Mismatch;
     }
-    let mine = guard::same_attempt(&ask.ballot, &record.owner);
-    match ask.purpose {
+    let mine = guard::same_attempt(&request.ballot, &record.owner);
+    match request.purpose {
         // Only a claim that was granted without a gather is proof that no other entry has
         // started the job: a refusal of any other one needs the gather.
         Purpose::Refuse if mine && record.owner.round == Ballot::FRESH => record.closed = true,
         // Only who replaces the present owner gets the job: of two entries that miss the
         // same owner the second is sent to the first.
         Purpose::TakeOver { over } if over >= record.owner.round => {
-            record.owner = raised(&ask.ballot, over);
+            record.owner = raised(&request.ballot, over);
             return state(record, true);
         }
         _ => {}
--- a/crates/cassiarock-claim/src/owner/asking.rs
+++ b/crates/cassiarock-claim/src/owner/asking.rs
@@ -1,6 +1,6 @@
 //! The owner and the keeper: what is asked, and what follows from the answer.
 
-use super::event::{Action, Reason};
+use super::event::{Action, FailureReason};
 use super::machine::{Owner, Phase};
 use crate::Ballot;
 use crate::message::{ClaimReply, ClaimRequest, Purpose};
@@ -15,7 +15,7 @@
         let Some(keeper) = scope.keeper.clone() else {
             return self.blind(purpose, views);
         };
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             job: self.job,
             digest: self.digest,
             purpose,
@@ -28,13 +28,13 @@
         if lost {
             return self.unkept(views, now);
         }
-        vec![Action::Ask { keeper, ask }]
+        vec![Action::RequestClaim { keeper, request }]
     }
 
     /// Without a view nothing can be asked; with one, a job without a scope is too old.
     fn blind(&mut self, purpose: Purpose, views: &Settlement) -> Vec<Action> {
         if views.view().is_some_and(|view| !view.members.is_empty()) {
-            return self.fail(Reason::Forgotten);
+            return self.fail(FailureReason::Forgotten);
         }
         self.phase = Phase::Blind(purpose);
         Vec::new()
@@ -43,7 +43,7 @@
     pub(super) fn answered(
         &mut self,
         view: u64,
-        answer: ClaimReply,
+        reply: ClaimReply,
         views: &Settlement,
         now: Wall,
     ) -> Vec<Action> {
@@ -54,7 +54,7 @@
         if scope.view != view {
             return Vec::new();
         }
-        match answer {
+        match reply {
             ClaimReply::Granted(ballot) if ballot == self.ballot => {
                 self.scope = Some(scope.clone());
                 self.own(views, now)
@@ -73,7 +73,7 @@
                 self.close(views, now)
             }
             ClaimReply::Mismatch => self.mismatch(),
-            ClaimReply::Forgotten => self.fail(Reason::Forgotten),
+            ClaimReply::Forgotten => self.fail(FailureReason::Forgotten),
             ClaimReply::Granted(_)
             | ClaimReply::Gather(_)
             | ClaimReply::Owned(_)
--- a/crates/cassiarock-claim/src/owner/event.rs
+++ b/crates/cassiarock-claim/src/owner/event.rs
@@ -19,13 +19,13 @@
     /// Time to repeat what has not been answered. Repeating is always safe.
     Retry,
     /// The entry adopted a view.
-    Viewed,
+    ViewChanged,
     /// The keeper's answer to this attempt's ask.
-    Answer {
+    ClaimReply {
         /// The view that the ask carried.
         view: u64,
         /// What was answered.
-        answer: ClaimReply,
+        reply: ClaimReply,
     },
     /// An agent's answer to this attempt's fence.
     Report {
@@ -35,7 +35,7 @@
         report: FenceReport,
     },
     /// An agent did not accept this attempt's fence.
-    Unfenced {
+    FenceRejected {
         /// Who answers.
         agent: Process,
         /// Why.
@@ -62,9 +62,9 @@
         outcome: Outcome,
     },
     /// An agent is out of reach; tasks placed there are unknown until it answers again.
-    Lost(Process),
+    AgentUnreachable(Process),
     /// That same incarnation can be reached again.
-    Back(Process),
+    AgentReachable(Process),
     /// The owner to which this one attached is out of reach or does not own the job.
     OwnerLost,
 }
@@ -73,11 +73,11 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Send to the keeper.
-    Ask {
+    RequestClaim {
         /// The keeper.
         keeper: Process,
         /// The question.
-        ask: ClaimRequest,
+        request: ClaimRequest,
     },
     /// Send to an agent.
     Fence {
@@ -107,18 +107,18 @@
     /// (`Owner::holds`).
     Attach(Ballot),
     /// The job has its final answer. Nothing follows.
-    Finish(End),
+    Finish(JobOutcome),
 }
 
 /// A job's final answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum JobOutcome {
     /// Every task ended; the outcomes in the order of the tasks.
     Complete(Vec<Outcome>),
     /// The job failed and may have run.
     Failed {
         /// Why.
-        reason: Reason,
+        reason: FailureReason,
         /// What is known of each task, in order.
         outcomes: Vec<Option<Outcome>>,
     },
@@ -130,7 +130,7 @@
 
 /// Why a job failed though it may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reason {
+pub enum FailureReason {
     /// It was cancelled after a task had started.
     Cancelled,
     /// A task was started and its end can't be known any more.
--- a/crates/cassiarock-claim/src/owner/gather.rs
+++ b/crates/cassiarock-claim/src/owner/gather.rs
@@ -1,7 +1,7 @@
 //! The gather: every agent that may have run tasks is fenced and reports; and the
 //! closing of a job of which nothing ran.
 
-use super::event::{Action, End, Reason};
+use super::event::{Action, FailureReason, JobOutcome};
 use super::machine::{Owner, Phase};
 use super::task::Stand;
 use crate::Ballot;
@@ -25,7 +25,7 @@
     /// Fences all agents under `round`. The keeper may be missing if it is exempt.
     pub(super) fn gather(&mut self, round: u32, views: &Settlement, now: Wall) -> Vec<Action> {
         let Some(mut scope) = views.scope(self.job, now) else {
-            return self.fail(Reason::Forgotten);
+            return self.fail(FailureReason::Forgotten);
         };
         // Agents fenced by this view reject gathers by the larger ones that went before,
         // so that only an exemption by this view itself counts.
@@ -38,7 +38,7 @@
         let missing = views.reach(self.job, &scope);
         let gone = |agent: &Process| views.is_ended(agent);
         if missing.is_empty() || missing.iter().any(gone) {
-            return self.fail(Reason::Unprovable);
+            return self.fail(FailureReason::Unprovable);
         }
         // No round is gathered twice: a report to the first gather would count in the second.
         let unused = self.ballot.round.max(Ballot::FRESH).saturating_add(1);
@@ -70,7 +70,7 @@
         // the witness, it was cancelled after they had run; otherwise it was refused.
         let sealed = report.closed && !report.tasks.is_empty();
         if report.closed && !sealed {
-            return self.finish(End::Refused);
+            return self.finish(JobOutcome::Refused);
         }
         if report.ballot > self.ballot {
             return self.attach(report.ballot);
@@ -80,7 +80,7 @@
         }
         if sealed {
             self.sealed = true;
-            self.stop.get_or_insert(Reason::Cancelled);
+            self.stop.get_or_insert(FailureReason::Cancelled);
         }
         match &self.phase {
             Phase::Sealing { .. } if self.is_sealing_at(agent) => self.progress(views, now),
@@ -109,7 +109,7 @@
             _ => return Vec::new(),
         };
         match reject {
-            Reject::Forgotten => self.fail(Reason::Forgotten),
+            Reject::Forgotten => self.fail(FailureReason::Forgotten),
             Reject::Mismatch => self.mismatch(),
             Reject::Leaving if witness => {
                 self.barred.insert(agent.clone());
@@ -146,13 +146,13 @@
     /// later gather may miss the keeper, but not the witness.
     pub(super) fn close(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
         if guard::witnessed(false) {
-            return self.finish(End::Refused);
+            return self.finish(JobOutcome::Refused);
         }
         let Some(scope) = &self.scope else {
             return Vec::new();
         };
         let Some(fresh) = views.scope(self.job, now) else {
-            return self.fail(Reason::Forgotten);
+            return self.fail(FailureReason::Forgotten);
         };
         let able = |agent: &&Process| self.may_use(agent, views) && !self.lost.contains(*agent);
         let witness = views.reach(self.job, scope).iter().find(able).cloned();
--- a/crates/cassiarock-claim/src/owner/machine.rs
+++ b/crates/cassiarock-claim/src/owner/machine.rs
@@ -1,6 +1,6 @@
 //! The owner: its phases, placements and the final answer.
 
-use super::event::{Action, End, Event, Reason};
+use super::event::{Action, Event, FailureReason, JobOutcome};
 use super::gather::Gather;
 use super::task::{Stand, Tasks};
 use crate::Ballot;
@@ -38,7 +38,7 @@
 ///
 /// ```
 /// use cassiarock_claim::message::{ClaimReply, Outcome};
-/// use cassiarock_claim::owner::{Action, End, Event, Owner};
+/// use cassiarock_claim::owner::{Action, JobOutcome, Event, Owner};
 /// use cassiarock_claim::view::{Settlement, Timing, View};
 /// use cassiarock_claim::Ballot;
 /// use cassiarock_id::{Job, Process, Task, Wall};
@@ -57,15 +57,15 @@
 /// let mine = Ballot::new(Ballot::FRESH, Process::new("entry-1", 1)).with_serial(1);
 /// let mut owner = Owner::new(Job::with_bits(now, 1), 9, 1, mine.clone());
 /// let asked = owner.step(Event::Submitted, &views, now);
-/// assert!(matches!(asked[..], [Action::Ask { .. }]));
-/// let granted = Event::Answer { view: 1, answer: ClaimReply::Granted(mine) };
+/// assert!(matches!(asked[..], [Action::RequestClaim { .. }]));
+/// let granted = Event::ClaimReply { view: 1, reply: ClaimReply::Granted(mine) };
 /// assert_eq!(owner.step(granted, &views, now), [Action::Place]);
 /// let ballot = owner.ballot().clone();
 /// let agent = agents.iter().find(|agent| owner.may_use(agent, &views)).unwrap();
 /// assert!(owner.place(Task(0), agent, now, &views).is_some());
 /// let done = Outcome::Done(b"ok".to_vec());
 /// let ended = Event::Ended { ballot, task: Task(0), outcome: done.clone() };
-/// let end = End::Complete(vec![done]);
+/// let end = JobOutcome::Complete(vec![done]);
 /// assert_eq!(owner.step(ended, &views, now), [Action::Finish(end)]);
 /// ```
 #[derive(Debug)]
@@ -82,7 +82,7 @@
     pub(super) barred: BTreeSet<Process>,
     pub(super) lost: BTreeSet<Process>,
     /// Set once nothing more is to be started.
-    pub(super) stop: Option<Reason>,
+    pub(super) stop: Option<FailureReason>,
     /// Agents at which a task of the job ended.
     pub(super) ran: BTreeSet<Process>,
     /// Whether the job is closed for further starts, after some tasks ran.
@@ -156,12 +156,12 @@
             Event::Submitted if self.stop.is_some() => self.ask(Purpose::Refuse, views, now),
             Event::Submitted => self.ask(Purpose::Claim, views, now),
             Event::Cancelled => self.cancel(views, now),
-            Event::Expired => self.fail(Reason::Expired),
+            Event::Expired => self.fail(FailureReason::Expired),
             Event::Retry => self.repeat(views, now),
-            Event::Viewed => self.viewed(views, now),
-            Event::Answer { view, answer } => self.answered(view, answer, views, now),
+            Event::ViewChanged => self.viewed(views, now),
+            Event::ClaimReply { view, reply } => self.answered(view, reply, views, now),
             Event::Report { agent, report } => self.reported(&agent, report, views, now),
-            Event::Unfenced { agent, reject } => self.unfenced(&agent, &reject, views, now),
+            Event::FenceRejected { agent, reject } => self.unfenced(&agent, &reject, views, now),
             Event::Rejected {
                 ballot,
                 task,
@@ -173,8 +173,8 @@
                 task,
                 outcome,
             } => self.ended(&ballot, task, outcome, views, now),
-            Event::Lost(agent) => self.lost(agent, views, now),
-            Event::Back(agent) => self.back(&agent, views),
+            Event::AgentUnreachable(agent) => self.lost(agent, views, now),
+            Event::AgentReachable(agent) => self.back(&agent, views),
             Event::OwnerLost => self.replace(views, now),
         }
     }
@@ -239,7 +239,7 @@
     }
 
     fn cancel(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
-        self.stop.get_or_insert(Reason::Cancelled);
+        self.stop.get_or_insert(FailureReason::Cancelled);
         match &self.phase {
             Phase::Asking { purpose, .. } if *purpose == Purpose::Claim => {
                 self.ask(Purpose::Refuse, views, now)
@@ -253,7 +253,7 @@
         }
     }
 
-    pub(super) fn finish(&mut self, end: End) -> Vec<Action> {
+    pub(super) fn finish(&mut self, end: JobOutcome) -> Vec<Action> {
         self.phase = Phase::Done;
         vec![Action::Finish(end)]
     }
@@ -261,14 +261,14 @@
     /// Other tasks have the id. Nothing of this submission ran if nothing was placed.
     pub(super) fn mismatch(&mut self) -> Vec<Action> {
         if self.tasks.any_ended() || self.tasks.pending().next().is_some() {
-            return self.fail(Reason::Mismatch);
+            return self.fail(FailureReason::Mismatch);
         }
-        self.finish(End::Mismatch)
+        self.finish(JobOutcome::Mismatch)
     }
 
-    pub(super) fn fail(&mut self, reason: Reason) -> Vec<Action> {
+    pub(super) fn fail(&mut self, reason: FailureReason) -> Vec<Action> {
         let outcomes = self.tasks.outcomes();
-        self.finish(End::Failed { reason, outcomes })
+        self.finish(JobOutcome::Failed { reason, outcomes })
     }
 
     /// The answer once every task has ended.
@@ -276,8 +276,8 @@
         let outcomes = self.tasks.outcomes();
         let whole: Option<Vec<Outcome>> = outcomes.into_iter().collect();
         match whole {
-            Some(outcomes) if !self.tasks.any_lost() => self.finish(End::Complete(outcomes)),
-            _ => self.fail(Reason::Lost),
+            Some(outcomes) if !self.tasks.any_lost() => self.finish(JobOutcome::Complete(outcomes)),
+            _ => self.fail(FailureReason::Lost),
         }
     }
 }
--- a/crates/cassiarock-claim/src/owner/mod.rs
+++ b/crates/cassiarock-claim/src/owner/mod.rs
@@ -8,5 +8,5 @@
 mod seal;
 mod task;
 
-pub use event::{Action, End, Event, Reason};
+pub use event::{Action, Event, FailureReason, JobOutcome};
 pub use machine::Owner;
--- a/crates/cassiarock-claim/src/owner/running.rs
+++ b/crates/cassiarock-claim/src/owner/running.rs
@@ -1,6 +1,6 @@
 //! The owner while tasks are placed, run and end, and agents come and go.
 
-use super::event::{Action, End, Reason};
+use super::event::{Action, FailureReason, JobOutcome};
 use super::gather::stand;
 use super::machine::{Owner, Phase};
 use super::task::Stand;
@@ -29,7 +29,7 @@
             return self.complete();
         }
         if self.tasks.any_lost() {
-            self.stop.get_or_insert(Reason::Lost);
+            self.stop.get_or_insert(FailureReason::Lost);
         }
         let Some(reason) = self.stop else {
             return self.offer(views, now);
@@ -65,7 +65,7 @@
             Reject::Fenced(higher) if higher > self.ballot => return self.attach(higher),
             Reject::Fenced(_) => return Vec::new(),
             Reject::Closed if self.tasks.any_ended() => return self.regather(views, now),
-            Reject::Closed => return self.finish(End::Refused),
+            Reject::Closed => return self.finish(JobOutcome::Refused),
             Reject::Mismatch => {
                 self.tasks.set(task, Stand::Free);
                 return self.mismatch();
--- a/crates/cassiarock-claim/src/owner/seal.rs
+++ b/crates/cassiarock-claim/src/owner/seal.rs
@@ -2,7 +2,7 @@
 //! task or a missed deadline. The answer says which tasks did not run, and a later
 //! take-over would otherwise find them unstarted and start them.
 
-use super::event::{Action, Reason};
+use super::event::{Action, FailureReason};
 use super::machine::{Owner, Phase};
 use crate::message::{Reject, TaskState};
 use crate::view::Settlement;
@@ -11,14 +11,14 @@
 impl Owner {
     /// Closes the job at an agent that ran a task of it. No gather may miss that agent,
     /// so that each later attempt meets the mark, or can prove nothing and starts nothing.
-    pub(super) fn seal(&mut self, reason: Reason, views: &Settlement) -> Vec<Action> {
+    pub(super) fn seal(&mut self, reason: FailureReason, views: &Settlement) -> Vec<Action> {
         // Other reasons claim of no task that it did not run.
-        if self.sealed || reason != Reason::Cancelled {
+        if self.sealed || reason != FailureReason::Cancelled {
             return self.fail(reason);
         }
         let able = |agent: &&Process| !self.lost.contains(*agent) && !views.is_ended(agent);
         let Some(witness) = self.ran.iter().find(able).cloned() else {
-            return self.fail(Reason::Unprovable);
+            return self.fail(FailureReason::Unprovable);
         };
         let view = views.version().unwrap_or_default();
         let fence = self.fence(&witness, view, true);
--- a/crates/cassiarock-claim/tests/owner.rs
+++ b/crates/cassiarock-claim/tests/owner.rs
@@ -4,7 +4,7 @@
 use cassiarock_claim::message::{
     ClaimReply, FenceReport, Outcome, Purpose, Reject, Start, TaskState,
 };
-use cassiarock_claim::owner::{Action, End, Event, Owner, Reason};
+use cassiarock_claim::owner::{Action, Event, FailureReason, JobOutcome, Owner};
 use cassiarock_claim::view::{Settlement, Timing, View};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::time::Duration;
@@ -49,9 +49,9 @@
         let owner = Owner::new(Job::with_bits(NOW, 1), 9, 2, ballot(1));
         let mut bench = Self { owner, views };
         bench.step(Event::Submitted);
-        let granted = bench.step(Event::Answer {
+        let granted = bench.step(Event::ClaimReply {
             view: 1,
-            answer: ClaimReply::Granted(ballot(1)),
+            reply: ClaimReply::Granted(ballot(1)),
         });
         assert_eq!(granted, [Action::Place]);
         bench
@@ -87,10 +87,10 @@
 fn a_start_of_unknown_fate_is_repeated_and_not_placed_elsewhere() {
     let mut bench = Bench::new();
     let (agent, start) = bench.place(0);
-    assert_eq!(bench.step(Event::Lost(agent.clone())), []);
+    assert_eq!(bench.step(Event::AgentUnreachable(agent.clone())), []);
     let open: Vec<_> = bench.owner.startable().collect();
     assert_eq!(open, [Task(1)]);
-    let again = bench.step(Event::Back(agent.clone()));
+    let again = bench.step(Event::AgentReachable(agent.clone()));
     assert_eq!(again, [Action::Start { agent, start }]);
 }
 
@@ -116,7 +116,9 @@
     assert!(bench.owner.startable().next().is_none());
     let replaced = bench.step(Event::OwnerLost);
     let over = Purpose::TakeOver { over: 2 };
-    assert!(matches!(&replaced[..], [Action::Ask { ask, .. }] if ask.purpose == over));
+    assert!(
+        matches!(&replaced[..], [Action::RequestClaim { request, .. }] if request.purpose == over)
+    );
 }
 
 // An entry answers a job, forgets it, and gets other tasks under the same id. The end of a
@@ -128,7 +130,7 @@
     assert_eq!(bench.step(end(earlier.clone(), 0)), []);
     assert_eq!(bench.step(end(earlier, 1)), []);
     bench.step(end(ballot(1), 0));
-    let whole = Action::Finish(End::Complete(vec![done(), done()]));
+    let whole = Action::Finish(JobOutcome::Complete(vec![done(), done()]));
     assert_eq!(bench.step(end(ballot(1), 1)), [whole]);
 }
 
@@ -136,10 +138,12 @@
 fn a_cancelled_job_is_refused_only_with_a_witness() {
     let mut bench = Bench::new();
     let asked = bench.step(Event::Cancelled);
-    assert!(matches!(&asked[..], [Action::Ask { ask, .. }] if ask.purpose == Purpose::Refuse));
-    let closed = Event::Answer {
+    assert!(
+        matches!(&asked[..], [Action::RequestClaim { request, .. }] if request.purpose == Purpose::Refuse)
+    );
+    let closed = Event::ClaimReply {
         view: 1,
-        answer: ClaimReply::Closed,
+        reply: ClaimReply::Closed,
     };
     let fenced = bench.step(closed);
     let [Action::Fence { agent, fence }] = &fenced[..] else {
@@ -155,7 +159,7 @@
     };
     let agent = agent.clone();
     let refused = bench.step(Event::Report { agent, report });
-    assert_eq!(refused, [Action::Finish(End::Refused)]);
+    assert_eq!(refused, [Action::Finish(JobOutcome::Refused)]);
 }
 
 // A job is cancelled when one of its tasks has run, and its entry dies after it has told
@@ -187,8 +191,8 @@
         closed: true,
         tasks: vec![(Task(0), TaskState::Ended(done()))],
     };
-    let failed = End::Failed {
-        reason: Reason::Cancelled,
+    let failed = JobOutcome::Failed {
+        reason: FailureReason::Cancelled,
         outcomes: vec![Some(done()), None],
     };
     let answered = bench.step(Event::Report { agent: ran, report });
@@ -205,11 +209,11 @@
     let again = Process::new(gone.name.clone(), 2);
     let rest = (0..4).map(agent).filter(|agent| *agent != gone);
     bench.views.adopt(View::new(2, rest.chain([again])));
-    let failed = bench.step(Event::Viewed);
-    let [Action::Finish(End::Failed { reason, .. })] = &failed[..] else {
+    let failed = bench.step(Event::ViewChanged);
+    let [Action::Finish(JobOutcome::Failed { reason, .. })] = &failed[..] else {
         panic!("a failure expected: {failed:?}");
     };
-    assert_eq!(*reason, Reason::Lost);
+    assert_eq!(*reason, FailureReason::Lost);
 }
 
 // Half of all jobs are cancelled and the processors are busy for seconds. Each answer to a
--- a/crates/cassiarock-claim/tests/sim/entry.rs
+++ b/crates/cassiarock-claim/tests/sim/entry.rs
@@ -3,7 +3,7 @@
 use super::truth::Truth;
 use super::{Body, KEPT, LEASE, MARGIN, Message, TASKS, Version, clock};
 use crate::claim::Ballot;
-use crate::claim::owner::{Action, End, Event, Owner};
+use crate::claim::owner::{Action, Event, JobOutcome, Owner};
 use crate::claim::view::{Settlement, Timing};
 use cassiarock_id::{Job, Process, Wall};
 use std::collections::{BTreeMap, VecDeque};
@@ -19,7 +19,7 @@
     digest: u64,
     submissions: Vec<u32>,
     waiters: Vec<Process>,
-    end: Option<End>,
+    end: Option<JobOutcome>,
 }
 
 #[derive(Debug)]
@@ -57,7 +57,7 @@
             self.views.retire(retired, version.view.version);
         }
         self.views.adopt(version.view.clone());
-        self.all(&Event::Viewed, time, truth)
+        self.all(&Event::ViewChanged, time, truth)
     }
 
     pub fn submit(
@@ -72,7 +72,7 @@
         if let Some(held) = self.jobs.get_mut(&job) {
             match &held.end {
                 _ if held.digest != digest => {
-                    truth.answer(submission, job, digest, &End::Mismatch);
+                    truth.answer(submission, job, digest, &JobOutcome::Mismatch);
                 }
                 Some(end) => truth.answer(submission, job, digest, end),
                 None => held.submissions.push(submission),
@@ -129,7 +129,9 @@
             };
             for action in held.owner.step(event, &self.views, now) {
                 match action {
-                    Action::Ask { keeper, ask } => sent.push((keeper, Body::Ask(ask))),
+                    Action::RequestClaim { keeper, request } => {
+                        sent.push((keeper, Body::Ask(request)))
+                    }
                     Action::Fence { agent, fence } => sent.push((agent, Body::Fence(fence))),
                     Action::Start { agent, start } => sent.push((agent, Body::Start(start))),
                     Action::Cancel { agent, cancel } => sent.push((agent, Body::Cancel(cancel))),
@@ -161,12 +163,12 @@
                 self.views.confirm(&agent, version, adopted, sent, now);
                 return Vec::new();
             }
-            Body::Answer(job, ballot, view, answer) => {
+            Body::Answer(job, ballot, view, reply) => {
                 let held = self.jobs.get(&job);
                 if !held.is_some_and(|held| held.owner.ballot().same_owner(&ballot)) {
                     return Vec::new();
                 }
-                (job, Event::Answer { view, answer })
+                (job, Event::ClaimReply { view, reply })
             }
             Body::Report(report) => (report.job, Event::Report { agent, report }),
             Body::Unfenced(job, ballot, reject) => {
@@ -174,7 +176,7 @@
                 if held.is_none_or(|held| *held.owner.ballot() != ballot) {
                     return Vec::new();
                 }
-                (job, Event::Unfenced { agent, reject })
+                (job, Event::FenceRejected { agent, reject })
             }
             Body::Rejected(job, ballot, task, placement, reject) => {
                 let event = Event::Rejected {
@@ -245,7 +247,7 @@
         vec![message(&self.me, waiter, Body::Whole(job, end))]
     }
 
-    fn whole(&mut self, job: Job, end: End, truth: &mut Truth) -> Vec<Message> {
+    fn whole(&mut self, job: Job, end: JobOutcome, truth: &mut Truth) -> Vec<Message> {
         let Some(held) = self.jobs.get_mut(&job).filter(|held| held.end.is_none()) else {
             return Vec::new();
         };
@@ -256,9 +258,9 @@
 }
 
 impl Held {
-    fn finish(&mut self, job: Job, end: End, truth: &mut Truth) -> Vec<(Process, Body)> {
+    fn finish(&mut self, job: Job, end: JobOutcome, truth: &mut Truth) -> Vec<(Process, Body)> {
         let gathered = self.owner.ballot().round > Ballot::FRESH;
-        truth.gathered += usize::from(gathered && matches!(end, End::Complete(_)));
+        truth.gathered += usize::from(gathered && matches!(end, JobOutcome::Complete(_)));
         for submission in self.submissions.drain(..) {
             truth.answer(submission, job, self.digest, &end);
         }
--- a/crates/cassiarock-claim/tests/sim/heal.rs
+++ b/crates/cassiarock-claim/tests/sim/heal.rs
@@ -11,7 +11,7 @@
             let at = self.entries.iter().position(|e| e.me == entry);
             self.all(
                 u8::try_from(at.unwrap_or(0)).unwrap_or(0),
-                &Event::Back(agent),
+                &Event::AgentReachable(agent),
             );
         }
         for entry in &mut self.entries {
@@ -41,7 +41,7 @@
         for e in 0..3_u8 {
             self.heartbeat(usize::from(e));
             for agent in self.agents.iter().map(|a| a.me.clone()).collect::<Vec<_>>() {
-                self.all(e, &Event::Back(agent));
+                self.all(e, &Event::AgentReachable(agent));
             }
             self.all(e, &Event::Retry);
             let alive: Vec<_> = self.entries.iter().map(|e| e.me.clone()).collect();
--- a/crates/cassiarock-claim/tests/sim/membership.rs
+++ b/crates/cassiarock-claim/tests/sim/membership.rs
@@ -25,7 +25,7 @@
             let gone = self.agents.remove(at).me;
             self.lost_agents = true;
             for e in 0..3 {
-                self.all(e, &Event::Lost(gone.clone()));
+                self.all(e, &Event::AgentUnreachable(gone.clone()));
             }
         }
     }
--- a/crates/cassiarock-claim/tests/sim/mod.rs
+++ b/crates/cassiarock-claim/tests/sim/mod.rs
@@ -15,7 +15,7 @@
     Cancel, ClaimRecord, ClaimReply, ClaimRequest, Fence, FenceReport, LedgerRecord, Outcome,
     Reject, Start,
 };
-use crate::claim::owner::End;
+use crate::claim::owner::JobOutcome;
 use crate::claim::view::View;
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::time::Duration;
@@ -67,7 +67,7 @@
     HandOver(Vec<ClaimRecord>, Vec<LedgerRecord>, Wall),
     TakenOver(bool),
     Attach(Job, Ballot),
-    Whole(Job, Option<End>),
+    Whole(Job, Option<JobOutcome>),
 }
 
 /// A process's clock: true time, off by its skew.
--- a/crates/cassiarock-claim/tests/sim/net.rs
+++ b/crates/cassiarock-claim/tests/sim/net.rs
@@ -109,16 +109,16 @@
         };
         let pair = (entry, agent.clone());
         if self.cut.remove(&pair) {
-            return self.all(e, &Event::Back(agent));
+            return self.all(e, &Event::AgentReachable(agent));
         }
         self.cut.insert(pair);
-        self.all(e, &Event::Lost(agent));
+        self.all(e, &Event::AgentUnreachable(agent));
     }
 
     pub(super) fn keeper_lost(&mut self, e: u8, a: u8) {
         if let Some(agent) = index(&self.agents, a).map(|agent| agent.me.clone()) {
-            self.all(e, &Event::Lost(agent.clone()));
-            self.all(e, &Event::Back(agent));
+            self.all(e, &Event::AgentUnreachable(agent.clone()));
+            self.all(e, &Event::AgentReachable(agent));
         }
     }
 }
--- a/crates/cassiarock-claim/tests/sim/truth.rs
+++ b/crates/cassiarock-claim/tests/sim/truth.rs
@@ -2,7 +2,7 @@
 
 use super::TASKS;
 use crate::claim::message::Outcome;
-use crate::claim::owner::{End, Reason};
+use crate::claim::owner::{FailureReason, JobOutcome};
 use cassiarock_id::{Job, Process, Task};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -48,20 +48,20 @@
         Outcome::Done(format!("{job}/{task}/{digest}").into_bytes())
     }
 
-    pub fn answer(&mut self, submission: u32, job: Job, digest: u64, end: &End) {
+    pub fn answer(&mut self, submission: u32, job: Job, digest: u64, end: &JobOutcome) {
         if !self.answered.insert(submission) {
             self.broken(format!("submission {submission} got two answers"));
         }
         match end {
-            End::Complete(outcomes) => self.complete(job, digest, outcomes),
-            End::Refused => self.refused(job),
-            End::Failed { reason, outcomes } => {
-                if *reason == Reason::Cancelled {
+            JobOutcome::Complete(outcomes) => self.complete(job, digest, outcomes),
+            JobOutcome::Refused => self.refused(job),
+            JobOutcome::Failed { reason, outcomes } => {
+                if *reason == FailureReason::Cancelled {
                     self.cancelled(job, outcomes);
                 }
                 *self.failed.entry(format!("{reason:?}")).or_default() += 1
             }
-            End::Mismatch => self.mismatches += 1,
+            JobOutcome::Mismatch => self.mismatches += 1,
         }
     }
 
--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -31,7 +31,7 @@
         if leaving {
             pool.leave(agent);
         }
-        self.step_all(&Event::Back(agent.clone()), now)
+        self.step_all(&Event::AgentReachable(agent.clone()), now)
     }
 
     /// The link with an agent is gone. Tasks placed there stay where they are until the
@@ -42,7 +42,7 @@
         }
         self.agents.remove(agent);
         self.note_silent(now);
-        let mut actions = self.step_all(&Event::Lost(agent.clone()), now);
+        let mut actions = self.step_all(&Event::AgentUnreachable(agent.clone()), now);
         let repeats = self.works.iter();
         let repeats = repeats.filter(|(_, work)| matches!(work.plan, Plan::Repeat(_)));
         let repeats: Vec<Job> = repeats.map(|(job, _)| *job).collect();
--- a/crates/cassiarock-entry/src/state/answer.rs
+++ b/crates/cassiarock-entry/src/state/answer.rs
@@ -3,7 +3,7 @@
 use super::work::{Stop, Work};
 use cassiarock_caller::{Answer, Output};
 use cassiarock_claim::message::Outcome;
-use cassiarock_claim::owner::{End, Reason};
+use cassiarock_claim::owner::{FailureReason, JobOutcome};
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -12,12 +12,12 @@
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The answer for a job whose attempt has ended.
-pub(super) fn of(work: &Work, end: End) -> Answer {
+pub(super) fn of(work: &Work, end: JobOutcome) -> Answer {
     match end {
-        End::Complete(outcomes) => complete(work, outcomes),
-        End::Failed { reason, outcomes } => failed(work, reason, &outcomes),
-        End::Refused => refused(work),
-        End::Mismatch => Answer::Conflict,
+        JobOutcome::Complete(outcomes) => complete(work, outcomes),
+        JobOutcome::Failed { reason, outcomes } => failed(work, reason, &outcomes),
+        JobOutcome::Refused => refused(work),
+        JobOutcome::Mismatch => Answer::Conflict,
     }
 }
 
@@ -46,9 +46,9 @@
     }
 }
 
-fn failed(work: &Work, reason: Reason, outcomes: &[Option<Outcome>]) -> Answer {
+fn failed(work: &Work, reason: FailureReason, outcomes: &[Option<Outcome>]) -> Answer {
     // Only a cancellation that ran to its end proves that the others never started.
-    let sure = reason == Reason::Cancelled;
+    let sure = reason == FailureReason::Cancelled;
     let ran = names(work, |task| !sure || outcomes[task].is_some());
     // An attempt that took over learns of the cancellation from the agents.
     let untold = work.stopped.is_none() && work.failure.is_none();
@@ -56,17 +56,17 @@
         let not_run = names(work, |task| outcomes[task].is_none());
         return Answer::Cancelled { ran, not_run };
     }
-    if reason == Reason::Lost && work.stopped == Some(Stop::Cancelled) {
+    if reason == FailureReason::Lost && work.stopped == Some(Stop::Cancelled) {
         let not_run = Vec::new();
         return Answer::Cancelled { ran, not_run };
     }
     let reason = match reason {
-        Reason::Cancelled => failure(work),
-        Reason::Lost => "the end of a task that was started is not known".to_owned(),
-        Reason::Unprovable => "an agent that may have run tasks of it is gone".to_owned(),
-        Reason::Forgotten => "the id is older than what is remembered".to_owned(),
-        Reason::Mismatch => "the id is in use for other tasks".to_owned(),
-        Reason::Expired => "the deadline passed".to_owned(),
+        FailureReason::Cancelled => failure(work),
+        FailureReason::Lost => "the end of a task that was started is not known".to_owned(),
+        FailureReason::Unprovable => "an agent that may have run tasks of it is gone".to_owned(),
+        FailureReason::Forgotten => "the id is older than what is remembered".to_owned(),
+        FailureReason::Mismatch => "the id is in use for other tasks".to_owned(),
+        FailureReason::Expired => "the deadline passed".to_owned(),
     };
     Answer::Failed { reason, ran }
 }
--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/guarded.rs
@@ -60,9 +60,9 @@
             return Vec::new();
         }
         self.note_address(job, answered.owner);
-        let event = Event::Answer {
+        let event = Event::ClaimReply {
             view: answered.view,
-            answer: answered.answer,
+            reply: answered.answer,
         };
         self.step(job, event, now)
     }
@@ -81,7 +81,7 @@
         let agent = agent.clone();
         let event = match reported.report {
             Ok(report) => Event::Report { agent, report },
-            Err(reject) => Event::Unfenced { agent, reject },
+            Err(reject) => Event::FenceRejected { agent, reject },
         };
         self.step(job, event, now)
     }
@@ -183,7 +183,7 @@
 
     fn carry_out(&mut self, job: Job, action: owner::Action, now: Now) -> Vec<Action> {
         match action {
-            owner::Action::Ask { keeper, ask } => self.ask(keeper, ask, now),
+            owner::Action::RequestClaim { keeper, request } => self.ask(keeper, request, now),
             owner::Action::Fence { agent, fence } => {
                 metrics::counter!("cassiarock_entry_fences_total").increment(1);
                 vec![Action::Send(agent, Frame::Fence(fence))]
@@ -216,12 +216,12 @@
     }
 
     /// Asks the keeper, or does without it at once if it is out of reach.
-    fn ask(&mut self, keeper: Process, ask: ClaimRequest, now: Now) -> Vec<Action> {
+    fn ask(&mut self, keeper: Process, request: ClaimRequest, now: Now) -> Vec<Action> {
         if self.agents.contains_key(&keeper) {
             metrics::counter!("cassiarock_entry_asks_total").increment(1);
-            return vec![Action::Send(keeper, Frame::Ask(ask))];
+            return vec![Action::Send(keeper, Frame::Ask(request))];
         }
-        self.step(ask.job, Event::Lost(keeper), now)
+        self.step(request.job, Event::AgentUnreachable(keeper), now)
     }
 
     /// Queues the tasks that may start and are not queued yet.
--- a/crates/cassiarock-entry/src/state/repeat.rs
+++ b/crates/cassiarock-entry/src/state/repeat.rs
@@ -4,7 +4,7 @@
 use super::{Action, State, answer};
 use cassiarock_claim::Ballot;
 use cassiarock_claim::message::{Cancel, Outcome};
-use cassiarock_claim::owner::{End, Reason};
+use cassiarock_claim::owner::{FailureReason, JobOutcome};
 use cassiarock_id::{Job, Process, Task};
 use cassiarock_policy::retry::Proof;
 use cassiarock_process::Now;
@@ -212,12 +212,12 @@
             return Vec::new();
         };
         let end = if repeat.any_tried() {
-            End::Failed {
-                reason: Reason::Expired,
+            JobOutcome::Failed {
+                reason: FailureReason::Expired,
                 outcomes: repeat.outcomes.clone(),
             }
         } else {
-            End::Refused
+            JobOutcome::Refused
         };
         let answer = answer::of(&self.works[&job], end);
         self.finish(job, answer, now)
@@ -229,12 +229,12 @@
         };
         let lost = outcomes.iter().any(|o| matches!(o, Outcome::Lost(_)));
         let end = if lost {
-            End::Failed {
-                reason: Reason::Lost,
+            JobOutcome::Failed {
+                reason: FailureReason::Lost,
                 outcomes: outcomes.into_iter().map(Some).collect(),
             }
         } else {
-            End::Complete(outcomes)
+            JobOutcome::Complete(outcomes)
         };
         let answer = answer::of(&self.works[&job], end);
         self.finish(job, answer, now)
--- a/crates/cassiarock-entry/src/state/views.rs
+++ b/crates/cassiarock-entry/src/state/views.rs
@@ -20,7 +20,7 @@
             return Vec::new();
         }
         self.views.evict(now.wall);
-        self.step_all(&Event::Viewed, now)
+        self.step_all(&Event::ViewChanged, now)
     }
 
     /// Orders to leave, and orders taken back.
