--- a/crates/cassiarock-claim/examples/costs.rs
+++ b/crates/cassiarock-claim/examples/costs.rs
@@ -8,7 +8,7 @@
 use cassiarock_claim::ledger::{Ledger, StartDecision};
 use cassiarock_claim::message::{ClaimReply, ClaimRequest, Outcome, Purpose, Start};
 use cassiarock_claim::owner::{Action, Event, Owner};
-use cassiarock_claim::view::{Settlement, Timing, View};
+use cassiarock_claim::view::{Timing, View, ViewHistory};
 use cassiarock_claim::{Ballot, Limit};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
 }
 
 struct Cluster {
-    views: Settlement,
+    views: ViewHistory,
     agents: BTreeMap<Process, (Ledger, Keeper)>,
     view: View,
 }
@@ -47,7 +47,7 @@
     let named = |n| Process::new(format!("agent-{n}"), 1);
     let view = View::new(1, (0..agents).map(named));
     let timing = Timing::new(LEASE, Duration::ZERO, KEPT);
-    let mut views = Settlement::new(timing, NOW);
+    let mut views = ViewHistory::new(timing, NOW);
     views.adopt(view.clone());
     let limit = Limit::new(KEPT, usize::MAX);
     let mut built = BTreeMap::new();
@@ -252,7 +252,7 @@
         digest: 9,
         purpose: Purpose::Claim,
         view: 1,
-        native: true,
+        sole_keeper: true,
         ballot: Ballot::new(Ballot::FRESH, Process::new("entry-1", 1)),
     }
 }
--- a/crates/cassiarock-claim/src/guard.rs
+++ b/crates/cassiarock-claim/src/guard.rs
@@ -20,10 +20,10 @@
     asked == own
 }
 
-/// The native check: a keeper grants without a gather only where no keeper of another
+/// The sole-keeper check: a keeper grants without a gather only where no keeper of another
 /// version can have done so.
-pub(crate) const fn native(native: bool) -> bool {
-    native
+pub(crate) const fn sole_keeper(sole_keeper: bool) -> bool {
+    sole_keeper
 }
 
 /// The repeat check: a start that was once rejected stays rejected.
--- a/crates/cassiarock-claim/src/keeper/book.rs
+++ b/crates/cassiarock-claim/src/keeper/book.rs
@@ -31,7 +31,7 @@
 ///     digest: 9,
 ///     purpose: Purpose::Claim,
 ///     view: 1,
-///     native: true,
+///     sole_keeper: true,
 ///     ballot: Ballot::new(Ballot::FRESH, Process::new("entry-1", 1)),
 /// };
 /// let granted = ClaimReply::Granted(request.ballot.clone());
@@ -84,7 +84,7 @@
         if self.is_forgotten(request.job) {
             return ClaimReply::Forgotten;
         }
-        self.first(request, guard::native(request.native))
+        self.first(request, guard::sole_keeper(request.sole_keeper))
     }
 
     /// The attempt that owns the job, as far as this keeper knows.
@@ -155,13 +155,13 @@
         self.jobs.len() * RECORD_BYTES
     }
 
-    fn first(&mut self, request: &ClaimRequest, native: bool) -> ClaimReply {
+    fn first(&mut self, request: &ClaimRequest, sole_keeper: bool) -> ClaimReply {
         let above = request.ballot.clone().with_round(Ballot::FRESH + 1);
         let fresh = request.ballot.clone().with_round(Ballot::FRESH);
         let owner = match request.purpose {
-            Purpose::Refuse if !native => return ClaimReply::Gather(above),
+            Purpose::Refuse if !sole_keeper => return ClaimReply::Gather(above),
             Purpose::TakeOver { over } => raised(&above, over),
-            _ if native => fresh,
+            _ if sole_keeper => fresh,
             Purpose::Claim | Purpose::Refuse => above,
         };
         let record = ClaimRecord {
--- a/crates/cassiarock-claim/src/message/keeper.rs
+++ b/crates/cassiarock-claim/src/message/keeper.rs
@@ -16,8 +16,9 @@
     /// The membership version by which the entry chose this keeper.
     pub view: u64,
     /// Whether no other keeper can have granted the job, by the entry's knowledge
-    /// (`view::Scope::native`).
-    pub native: bool,
+    /// (`view::JobScope::sole_keeper`).
+    #[serde(rename = "native")]
+    pub sole_keeper: bool,
     /// The attempt that the entry would own or owns; the keeper chooses the round.
     pub ballot: Ballot,
 }
--- a/crates/cassiarock-claim/src/owner/asking.rs
+++ b/crates/cassiarock-claim/src/owner/asking.rs
@@ -4,11 +4,11 @@
 use super::machine::{Owner, Phase};
 use crate::Ballot;
 use crate::message::{ClaimReply, ClaimRequest, Purpose};
-use crate::view::Settlement;
+use crate::view::ViewHistory;
 use cassiarock_id::Wall;
 
 impl Owner {
-    pub(super) fn ask(&mut self, purpose: Purpose, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn ask(&mut self, purpose: Purpose, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let Some(scope) = views.scope(self.job, now) else {
             return self.blind(purpose, views);
         };
@@ -20,7 +20,7 @@
             digest: self.digest,
             purpose,
             view: scope.view,
-            native: scope.native,
+            sole_keeper: scope.sole_keeper,
             ballot: self.ballot.clone(),
         };
         let lost = self.lost.contains(&keeper);
@@ -32,7 +32,7 @@
     }
 
     /// Without a view nothing can be asked; with one, a job without a scope is too old.
-    fn blind(&mut self, purpose: Purpose, views: &Settlement) -> Vec<Action> {
+    fn blind(&mut self, purpose: Purpose, views: &ViewHistory) -> Vec<Action> {
         if views.view().is_some_and(|view| !view.members.is_empty()) {
             return self.fail(FailureReason::Forgotten);
         }
@@ -44,7 +44,7 @@
         &mut self,
         view: u64,
         reply: ClaimReply,
-        views: &Settlement,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         let Phase::Asking { purpose, scope } = &self.phase else {
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn replace(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn replace(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let Phase::Attached(owner) = &self.phase else {
             return Vec::new();
         };
@@ -90,7 +90,7 @@
     }
 
     /// The keeper is out of reach: gather without it, or with it if it isn't exempt.
-    pub(super) fn unkept(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn unkept(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let Phase::Asking { purpose, .. } = &self.phase else {
             return Vec::new();
         };
--- a/crates/cassiarock-claim/src/owner/gather.rs
+++ b/crates/cassiarock-claim/src/owner/gather.rs
@@ -7,14 +7,14 @@
 use crate::Ballot;
 use crate::guard;
 use crate::message::{Fence, FenceReport, Purpose, Reject, TaskState};
-use crate::view::{Scope, Settlement};
+use crate::view::{JobScope, ViewHistory};
 use cassiarock_id::{Process, Task, Wall};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A gather under way.
 #[derive(Debug)]
 pub(super) struct Gather {
-    scope: Scope,
+    scope: JobScope,
     /// The agents that have not reported yet.
     missing: BTreeSet<Process>,
     /// What the others reported.
@@ -23,7 +23,7 @@
 
 impl Owner {
     /// Fences all agents under `round`. The keeper may be missing if it is exempt.
-    pub(super) fn gather(&mut self, round: u32, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn gather(&mut self, round: u32, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let Some(mut scope) = views.scope(self.job, now) else {
             return self.fail(FailureReason::Forgotten);
         };
@@ -31,12 +31,12 @@
         // so that only an exemption by this view itself counts.
         if views
             .view()
-            .is_none_or(|view| view.exempt(self.job).is_none())
+            .is_none_or(|view| view.exempt_keeper(self.job).is_none())
         {
-            scope.named = None;
+            scope.excluded_keeper = None;
         }
-        let missing = views.reach(self.job, &scope);
-        let gone = |agent: &Process| views.is_ended(agent);
+        let missing = views.gather_targets(self.job, &scope);
+        let gone = |agent: &Process| views.has_ended(agent);
         if missing.is_empty() || missing.iter().any(gone) {
             return self.fail(FailureReason::Unprovable);
         }
@@ -52,7 +52,7 @@
     }
 
     /// Begins again under a higher round: the tasks' whereabouts are in doubt.
-    pub(super) fn regather(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn regather(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         self.gather(Ballot::FRESH, views, now)
     }
 
@@ -60,7 +60,7 @@
         &mut self,
         agent: &Process,
         report: FenceReport,
-        views: &Settlement,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         if report.job != self.job || matches!(self.phase, Phase::Attached(_) | Phase::Idle) {
@@ -97,7 +97,7 @@
         &mut self,
         agent: &Process,
         reject: &Reject,
-        views: &Settlement,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         if self.is_sealing_at(agent) {
@@ -144,7 +144,7 @@
 
     /// Closes the job at a witness. The keeper's word alone would be lost with it: a
     /// later gather may miss the keeper, but not the witness.
-    pub(super) fn close(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn close(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         if guard::witnessed(false) {
             return self.finish(JobOutcome::Refused);
         }
@@ -155,7 +155,11 @@
             return self.fail(FailureReason::Forgotten);
         };
         let able = |agent: &&Process| self.may_use(agent, views) && !self.lost.contains(*agent);
-        let witness = views.reach(self.job, scope).iter().find(able).cloned();
+        let witness = views
+            .gather_targets(self.job, scope)
+            .iter()
+            .find(able)
+            .cloned();
         // After a gather those that came since can be witnesses as well.
         let gathered = self.ballot.round > Ballot::FRESH && scope.view == fresh.view;
         if witness.is_none() && !gathered {
@@ -169,7 +173,7 @@
     }
 
     /// Before a refusal the keeper is closed, if the attempt has not gathered.
-    pub(super) fn refuse(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn refuse(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         if self.ballot.round == Ballot::FRESH {
             return self.ask(Purpose::Refuse, views, now);
         }
@@ -180,7 +184,7 @@
         &mut self,
         agent: &Process,
         report: FenceReport,
-        views: &Settlement,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         let Phase::Gathering(gather) = &mut self.phase else {
--- a/crates/cassiarock-claim/src/owner/machine.rs
+++ b/crates/cassiarock-claim/src/owner/machine.rs
@@ -6,7 +6,7 @@
 use crate::Ballot;
 use crate::guard;
 use crate::message::{Outcome, Purpose, Start};
-use crate::view::{Scope, Settlement};
+use crate::view::{JobScope, ViewHistory};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
     /// Not submitted yet.
     Idle,
     /// The keeper was asked.
-    Asking { purpose: Purpose, scope: Scope },
+    Asking { purpose: Purpose, scope: JobScope },
     /// There is no view with agents yet.
     Blind(Purpose),
     /// Agents are being fenced.
@@ -39,7 +39,7 @@
 /// ```
 /// use cassiarock_claim::message::{ClaimReply, Outcome};
 /// use cassiarock_claim::owner::{Action, JobOutcome, Event, Owner};
-/// use cassiarock_claim::view::{Settlement, Timing, View};
+/// use cassiarock_claim::view::{ViewHistory, Timing, View};
 /// use cassiarock_claim::Ballot;
 /// use cassiarock_id::{Job, Process, Task, Wall};
 /// use std::time::Duration;
@@ -48,7 +48,7 @@
 /// let timing = Timing::new(lease, Duration::ZERO, Duration::from_secs(600));
 /// let now = Wall::from_millis(1_000_000);
 /// let agents: Vec<_> = (0..3).map(|n| Process::new(format!("agent-{n}"), 1)).collect();
-/// let mut views = Settlement::new(timing, now);
+/// let mut views = ViewHistory::new(timing, now);
 /// views.adopt(View::new(1, agents.clone()));
 /// for agent in &agents {
 ///     views.confirm(agent, 1, lease, now, now);
@@ -76,7 +76,7 @@
     pub(super) ballot: Ballot,
     pub(super) phase: Phase,
     /// What the views said when the attempt was granted or gathered.
-    pub(super) scope: Option<Scope>,
+    pub(super) scope: Option<JobScope>,
     pub(super) tasks: Tasks,
     /// Agents that can't run tasks of this job.
     pub(super) barred: BTreeSet<Process>,
@@ -144,11 +144,11 @@
     /// The agent that may run none of the tasks, because it keeps the claim.
     #[must_use]
     pub fn keeper(&self) -> Option<&Process> {
-        self.scope.as_ref()?.named.as_ref()
+        self.scope.as_ref()?.excluded_keeper.as_ref()
     }
 
     /// Takes in an event and returns what is to be done.
-    pub fn step(&mut self, event: Event, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub fn step(&mut self, event: Event, views: &ViewHistory, now: Wall) -> Vec<Action> {
         if self.is_done() {
             return Vec::new();
         }
@@ -190,13 +190,17 @@
     /// the job's birth; under a gather a member since then is enough, because agents
     /// reject rivals that gather by an older view.
     #[must_use]
-    pub fn may_use(&self, agent: &Process, views: &Settlement) -> bool {
+    pub fn may_use(&self, agent: &Process, views: &ViewHistory) -> bool {
         let Some(scope) = &self.scope else {
             return false;
         };
         let granted = self.ballot.round == Ballot::FRESH;
-        let since = if granted { scope.since } else { scope.view };
-        !guard::is_keeper(scope.named.as_ref() == Some(agent))
+        let since = if granted {
+            scope.oldest_view
+        } else {
+            scope.view
+        };
+        !guard::is_keeper(scope.excluded_keeper.as_ref() == Some(agent))
             && !self.barred.contains(agent)
             && views.is_member_since(agent, since)
     }
@@ -207,7 +211,7 @@
         task: Task,
         agent: &Process,
         start_by: Wall,
-        views: &Settlement,
+        views: &ViewHistory,
     ) -> Option<Start> {
         let open = matches!(self.phase, Phase::Owning) && self.stop.is_none();
         let free = matches!(self.tasks.get(task), Some(Stand::Free));
@@ -219,7 +223,7 @@
             job: self.job,
             digest: self.digest,
             ballot: self.ballot.clone(),
-            keeper: scope.named.clone(),
+            keeper: scope.excluded_keeper.clone(),
             view: scope.view,
             task,
             placement: self.tasks.next_placement(task),
@@ -238,7 +242,7 @@
         vec![Action::Attach(owner)]
     }
 
-    fn cancel(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    fn cancel(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         self.stop.get_or_insert(FailureReason::Cancelled);
         match &self.phase {
             Phase::Asking { purpose, .. } if *purpose == Purpose::Claim => {
--- a/crates/cassiarock-claim/src/owner/running.rs
+++ b/crates/cassiarock-claim/src/owner/running.rs
@@ -6,7 +6,7 @@
 use super::task::Stand;
 use crate::Ballot;
 use crate::message::{Cancel, FenceReport, Outcome, Reject};
-use crate::view::Settlement;
+use crate::view::ViewHistory;
 use cassiarock_id::{Process, Task, Wall};
 use std::collections::BTreeSet;
 
@@ -18,13 +18,13 @@
 
 impl Owner {
     /// The attempt owns the job from now on.
-    pub(super) fn own(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn own(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         self.phase = Phase::Owning;
         self.progress(views, now)
     }
 
     /// What is to be done next, after any change while owning.
-    pub(super) fn progress(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn progress(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         if self.tasks.all_ended() {
             return self.complete();
         }
@@ -49,7 +49,7 @@
         task: Task,
         placement: u32,
         reject: Reject,
-        views: &Settlement,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         let (agent, asked) = match self.tasks.get(task) {
@@ -91,7 +91,7 @@
         ballot: &Ballot,
         task: Task,
         outcome: Outcome,
-        views: &Settlement,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         // A late end may belong to an earlier submission of this id, with other tasks.
@@ -117,7 +117,7 @@
         &mut self,
         agent: &Process,
         report: FenceReport,
-        views: &Settlement,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         // Of an earlier attempt's tasks nothing can begin any more: what is not reported
@@ -139,7 +139,7 @@
         self.progress(views, now)
     }
 
-    pub(super) fn lost(&mut self, agent: Process, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn lost(&mut self, agent: Process, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let keeper = match &self.phase {
             Phase::Asking { scope, .. } => scope.keeper.as_ref() == Some(&agent),
             _ => false,
@@ -163,7 +163,7 @@
     }
 
     /// Asks again what that agent has left open. Its ledger answers repeats.
-    pub(super) fn back(&mut self, agent: &Process, views: &Settlement) -> Vec<Action> {
+    pub(super) fn back(&mut self, agent: &Process, views: &ViewHistory) -> Vec<Action> {
         self.lost.remove(agent);
         match &self.phase {
             Phase::Gathering(gather) if gather.misses(agent) => {
@@ -175,7 +175,7 @@
     }
 
     /// Repeats what has not been answered.
-    pub(super) fn repeat(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn repeat(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         match &self.phase {
             Phase::Asking { purpose, .. } | Phase::Blind(purpose) => self.ask(*purpose, views, now),
             Phase::Gathering(_) => self.fences(),
@@ -189,7 +189,7 @@
 
     /// Asks anew after tasks that an earlier attempt had placed. Word that one of them
     /// turned out not to have begun may have come before the gather was whole.
-    fn refences(&self, views: &Settlement) -> Vec<Action> {
+    fn refences(&self, views: &ViewHistory) -> Vec<Action> {
         let view = views.version().unwrap_or_default();
         let running = self.tasks.iter().filter_map(|(_, stand)| match stand {
             Stand::Running { agent } => Some(agent),
@@ -200,7 +200,7 @@
         agents.into_iter().map(fence).collect()
     }
 
-    pub(super) fn viewed(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn viewed(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         match &self.phase {
             Phase::Asking { purpose, .. } | Phase::Blind(purpose) => self.ask(*purpose, views, now),
             // Agents of the new view reject fences of an older one.
@@ -216,9 +216,9 @@
 
     /// Settles the tasks of agents that have ended: what a leaving one handed over is
     /// gathered from its successors, the ends of the others are lost.
-    fn bury(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    fn bury(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let pending = self.tasks.pending();
-        let ended = pending.filter(|(_, agent)| views.is_ended(agent));
+        let ended = pending.filter(|(_, agent)| views.has_ended(agent));
         let ended: Vec<_> = ended
             .map(|(task, agent)| (task, views.has_retired(agent)))
             .collect();
@@ -237,7 +237,7 @@
 
     /// Offers the free tasks for placement. Where every agent that may run them has gone,
     /// as in a rolling replacement, a gather lets those that came since run them.
-    fn offer(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    fn offer(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         if self.startable().next().is_none() {
             return Vec::new();
         }
@@ -287,7 +287,7 @@
         }
     }
 
-    fn reask(&self, agent: &Process, views: &Settlement) -> Vec<Action> {
+    fn reask(&self, agent: &Process, views: &ViewHistory) -> Vec<Action> {
         let mut actions = Vec::new();
         let mut attached = false;
         for (task, stand) in self.tasks.iter() {
--- a/crates/cassiarock-claim/src/owner/seal.rs
+++ b/crates/cassiarock-claim/src/owner/seal.rs
@@ -5,18 +5,18 @@
 use super::event::{Action, FailureReason};
 use super::machine::{Owner, Phase};
 use crate::message::{Reject, TaskState};
-use crate::view::Settlement;
+use crate::view::ViewHistory;
 use cassiarock_id::{Process, Wall};
 
 impl Owner {
     /// Closes the job at an agent that ran a task of it. No gather may miss that agent,
     /// so that each later attempt meets the mark, or can prove nothing and starts nothing.
-    pub(super) fn seal(&mut self, reason: FailureReason, views: &Settlement) -> Vec<Action> {
+    pub(super) fn seal(&mut self, reason: FailureReason, views: &ViewHistory) -> Vec<Action> {
         // Other reasons claim of no task that it did not run.
         if self.sealed || reason != FailureReason::Cancelled {
             return self.fail(reason);
         }
-        let able = |agent: &&Process| !self.lost.contains(*agent) && !views.is_ended(agent);
+        let able = |agent: &&Process| !self.lost.contains(*agent) && !views.has_ended(agent);
         let Some(witness) = self.ran.iter().find(able).cloned() else {
             return self.fail(FailureReason::Unprovable);
         };
@@ -35,7 +35,7 @@
         &mut self,
         agent: &Process,
         reject: &Reject,
-        views: &Settlement,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         // A newer membership is on its way to this entry, which then asks again.
--- a/crates/cassiarock-claim/src/view/mod.rs
+++ b/crates/cassiarock-claim/src/view/mod.rs
@@ -1,10 +1,10 @@
 //! Membership versions: who keeps a job, and since when all have moved on.
 
+mod epoch;
 mod history;
 mod scope;
-mod settlement;
 mod snapshot;
 
-pub use scope::Scope;
-pub use settlement::{Settlement, Timing};
+pub use history::{Timing, ViewHistory};
+pub use scope::JobScope;
 pub use snapshot::View;
--- a/crates/cassiarock-claim/src/view/scope.rs
+++ b/crates/cassiarock-claim/src/view/scope.rs
@@ -1,27 +1,27 @@
 //! What the views say about a job: its keeper, and which agents can have run its tasks.
 
-use super::history::Epoch;
-use super::{Settlement, View};
+use super::epoch::Epoch;
+use super::{View, ViewHistory};
 use crate::guard;
 use cassiarock_id::{Job, Process, Wall};
 use std::collections::BTreeSet;
 
 /// What the views say about one job at one moment.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Scope {
+pub struct JobScope {
     /// The entry's view.
     pub view: u64,
     /// The oldest view by which tasks of the job can have been started.
-    pub since: u64,
+    pub oldest_view: u64,
     /// The keeper to be asked.
     pub keeper: Option<Process>,
     /// The keeper that start messages name: it runs none of the job's tasks.
-    pub named: Option<Process>,
+    pub excluded_keeper: Option<Process>,
     /// The keeper that gathers may miss, if there is one.
-    pub exempt: Option<Process>,
+    pub exempt_keeper: Option<Process>,
     /// Whether no other keeper can have granted the job, so that this one may grant it
     /// without a gather.
-    pub native: bool,
+    pub sole_keeper: bool,
 }
 
 /// The job's keeper over all views of the job's life.
@@ -51,20 +51,20 @@
     }
 }
 
-impl Settlement {
+impl ViewHistory {
     /// What the views say about a job; `None` before the first view, and for a job
     /// issued before this entry's knowledge begins or after its memory ends.
     #[must_use]
-    pub fn scope(&self, job: Job, now: Wall) -> Option<Scope> {
+    pub fn scope(&self, job: Job, now: Wall) -> Option<JobScope> {
         let view = self.view()?;
         let born = self.born(job)?;
-        let mut scope = Scope {
+        let mut scope = JobScope {
             view: view.version,
-            since: self.epochs[born].view.version,
+            oldest_view: self.epochs[born].view.version,
             keeper: None,
-            named: None,
-            exempt: None,
-            native: false,
+            excluded_keeper: None,
+            exempt_keeper: None,
+            sole_keeper: false,
         };
         let Some(keeper) = view.keeper(job) else {
             return Some(scope);
@@ -73,11 +73,11 @@
         let constant = self.settled_before(born, job) && guard::one_keeper(life.constant);
         let authority = self.authority_until().is_some_and(|until| now < until);
         let keeper = Some(keeper.clone());
-        scope.native = constant && guard::has_authority(authority);
-        scope.exempt = keeper.clone().filter(|_| constant && life.always_exempt);
+        scope.sole_keeper = constant && guard::has_authority(authority);
+        scope.exempt_keeper = keeper.clone().filter(|_| constant && life.always_exempt);
         // A view that has shrunk below the size for exempt keepers names the keeper all
         // the same: an entry that still holds the larger view may gather without it.
-        scope.named = keeper.clone().filter(|_| life.ever_exempt);
+        scope.excluded_keeper = keeper.clone().filter(|_| life.ever_exempt);
         scope.keeper = keeper;
         Some(scope)
     }
@@ -89,15 +89,15 @@
     /// tasks: an agent that died and came back under its name would otherwise fail every
     /// job that it kept and that was issued before its return was settled.
     #[must_use]
-    pub fn reach(&self, job: Job, scope: &Scope) -> BTreeSet<Process> {
-        let lived = |view: &View| (scope.since..=scope.view).contains(&view.version);
+    pub fn gather_targets(&self, job: Job, scope: &JobScope) -> BTreeSet<Process> {
+        let lived = |view: &View| (scope.oldest_view..=scope.view).contains(&view.version);
         let views = self.epochs.iter().map(|epoch| &epoch.view);
         // Before any view was settled, somebody may act by one that is older than these.
         let born = self.born(job);
         let settled = born.is_some_and(|at| self.settled_before(at, job));
         let mut reach = BTreeSet::new();
         for view in views.filter(|view| lived(view)) {
-            let idle = view.exempt(job).filter(|_| settled);
+            let idle = view.exempt_keeper(job).filter(|_| settled);
             let able = view.members.iter().filter(|m| idle != Some(m));
             reach.extend(able.cloned());
         }
--- a/crates/cassiarock-claim/src/view/snapshot.rs
+++ b/crates/cassiarock-claim/src/view/snapshot.rs
@@ -86,12 +86,12 @@
     /// let job = Job::with_bits(Wall::from_millis(5), 1);
     /// let agents = (0..3).map(|n| Process::new(format!("agent-{n}"), 1));
     /// let view = View::new(7, agents);
-    /// assert_eq!(view.exempt(job), view.keeper(job));
+    /// assert_eq!(view.exempt_keeper(job), view.keeper(job));
     /// let two = view.without(&view.members[0]);
-    /// assert_eq!(two.exempt(job), None);
+    /// assert_eq!(two.exempt_keeper(job), None);
     /// ```
     #[must_use]
-    pub fn exempt(&self, job: Job) -> Option<&Process> {
+    pub fn exempt_keeper(&self, job: Job) -> Option<&Process> {
         self.keeper(job).filter(|_| self.exempts())
     }
 
--- a/crates/cassiarock-claim/tests/keeper.rs
+++ b/crates/cassiarock-claim/tests/keeper.rs
@@ -32,7 +32,7 @@
         digest: 9,
         purpose,
         view: 5,
-        native: true,
+        sole_keeper: true,
         ballot: ballot(Ballot::FRESH, entry),
     }
 }
@@ -75,7 +75,7 @@
 #[test]
 fn a_job_that_may_be_older_than_the_view_is_gathered() {
     let late = ClaimRequest {
-        native: false,
+        sole_keeper: false,
         ..ask(1, Purpose::Claim)
     };
     assert_eq!(answers(&[late]), [ClaimReply::Gather(ballot(2, 1))]);
--- a/crates/cassiarock-claim/tests/mutant/guard.rs
+++ b/crates/cassiarock-claim/tests/mutant/guard.rs
@@ -49,8 +49,8 @@
     off(Check::Version) || asked == own
 }
 
-pub(crate) fn native(native: bool) -> bool {
-    off(Check::Version) || native
+pub(crate) fn sole_keeper(sole_keeper: bool) -> bool {
+    off(Check::Version) || sole_keeper
 }
 
 pub(crate) fn newer_start(start: (&Ballot, u32), void: (&Ballot, u32)) -> bool {
--- a/crates/cassiarock-claim/tests/owner.rs
+++ b/crates/cassiarock-claim/tests/owner.rs
@@ -5,7 +5,7 @@
     ClaimReply, FenceReport, Outcome, Purpose, Reject, Start, TaskState,
 };
 use cassiarock_claim::owner::{Action, Event, FailureReason, JobOutcome, Owner};
-use cassiarock_claim::view::{Settlement, Timing, View};
+use cassiarock_claim::view::{Timing, View, ViewHistory};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::time::Duration;
 
@@ -35,13 +35,13 @@
 /// An owner of two tasks that was granted its job, with four agents settled.
 struct Bench {
     owner: Owner,
-    views: Settlement,
+    views: ViewHistory,
 }
 
 impl Bench {
     fn new() -> Self {
         let timing = Timing::new(LEASE, Duration::ZERO, Duration::from_secs(600));
-        let mut views = Settlement::new(timing, NOW);
+        let mut views = ViewHistory::new(timing, NOW);
         views.adopt(View::new(1, (0..4).map(agent)));
         for n in 0..4 {
             views.confirm(&agent(n), 1, LEASE, NOW, NOW);
--- a/crates/cassiarock-claim/tests/sim/entry.rs
+++ b/crates/cassiarock-claim/tests/sim/entry.rs
@@ -4,7 +4,7 @@
 use super::{Body, KEPT, LEASE, MARGIN, Message, TASKS, Version, clock};
 use crate::claim::Ballot;
 use crate::claim::owner::{Action, Event, JobOutcome, Owner};
-use crate::claim::view::{Settlement, Timing};
+use crate::claim::view::{Timing, ViewHistory};
 use cassiarock_id::{Job, Process, Wall};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Entry {
     pub me: Process,
-    pub views: Settlement,
+    pub views: ViewHistory,
     /// How many versions it has read.
     pub held: usize,
     pub skew: u64,
@@ -39,7 +39,7 @@
         let timing = Timing::new(LEASE, MARGIN, KEPT);
         Self {
             me,
-            views: Settlement::new(timing, Wall::from_millis(0)),
+            views: ViewHistory::new(timing, Wall::from_millis(0)),
             held: 0,
             skew,
             paused: false,
@@ -54,7 +54,7 @@
         };
         self.held += 1;
         if let Some(retired) = version.retired.clone() {
-            self.views.retire(retired, version.view.version);
+            self.views.record_retirement(retired, version.view.version);
         }
         self.views.adopt(version.view.clone());
         self.all(&Event::ViewChanged, time, truth)
--- a/crates/cassiarock-claim/tests/view.rs
+++ b/crates/cassiarock-claim/tests/view.rs
@@ -1,6 +1,6 @@
 //! Rendezvous hashing, settled views and an entry's authority.
 
-use cassiarock_claim::view::{Settlement, Timing, View};
+use cassiarock_claim::view::{Timing, View, ViewHistory};
 use cassiarock_id::{Job, Process, Wall};
 use std::time::Duration;
 
@@ -16,18 +16,18 @@
     View::new(version, agents.into_iter().map(agent))
 }
 
-fn settlement(views: &[View]) -> Settlement {
+fn history(views: &[View]) -> ViewHistory {
     let timing = Timing::new(LEASE, MARGIN, Duration::from_secs(600));
-    let mut settlement = Settlement::new(timing, NOW);
+    let mut history = ViewHistory::new(timing, NOW);
     for view in views {
-        settlement.adopt(view.clone());
+        history.adopt(view.clone());
     }
-    settlement
+    history
 }
 
-fn confirm(settlement: &mut Settlement, agents: impl IntoIterator<Item = u64>, version: u64) {
+fn confirm(history: &mut ViewHistory, agents: impl IntoIterator<Item = u64>, version: u64) {
     for n in agents {
-        settlement.confirm(&agent(n), version, LEASE, NOW, NOW);
+        history.confirm(&agent(n), version, LEASE, NOW, NOW);
     }
 }
 
@@ -52,15 +52,15 @@
 
 #[test]
 fn a_view_is_settled_once_a_majority_held_it_for_a_lease() {
-    let mut settlement = settlement(&[view(1, 0..4)]);
+    let mut history = history(&[view(1, 0..4)]);
     let short = LEASE - Duration::from_millis(1);
     for n in 0..4 {
-        settlement.confirm(&agent(n), 1, short, NOW, NOW);
+        history.confirm(&agent(n), 1, short, NOW, NOW);
     }
-    confirm(&mut settlement, 0..2, 1);
-    assert_eq!(settlement.settled_at(1), None);
-    confirm(&mut settlement, 2..3, 1);
-    assert_eq!(settlement.settled_at(1), Some(NOW));
+    confirm(&mut history, 0..2, 1);
+    assert_eq!(history.settled_at(1), None);
+    confirm(&mut history, 2..3, 1);
+    assert_eq!(history.settled_at(1), Some(NOW));
 }
 
 // Three agents hold the first and the third view; four more came with the second one and
@@ -70,19 +70,19 @@
 #[test]
 fn a_view_in_between_must_be_outlived_as_well() {
     let views = [view(1, 0..3), view(2, 0..7), view(3, 0..3)];
-    let mut settlement = settlement(&views[..1]);
-    confirm(&mut settlement, 0..3, 1);
-    settlement.adopt(views[1].clone());
-    settlement.adopt(views[2].clone());
-    confirm(&mut settlement, 0..3, 3);
-    assert_eq!(settlement.settled_at(3), None);
-    confirm(&mut settlement, 3..4, 3);
-    assert_eq!(settlement.settled_at(3), Some(NOW));
+    let mut history = history(&views[..1]);
+    confirm(&mut history, 0..3, 1);
+    history.adopt(views[1].clone());
+    history.adopt(views[2].clone());
+    confirm(&mut history, 0..3, 3);
+    assert_eq!(history.settled_at(3), None);
+    confirm(&mut history, 3..4, 3);
+    assert_eq!(history.settled_at(3), Some(NOW));
 }
 
 #[test]
 fn newer_incarnations_and_announced_ends_count_as_moved_on() {
-    let mut restarted = settlement(&[view(1, 0..3)]);
+    let mut restarted = history(&[view(1, 0..3)]);
     let again = (0..3).map(|n| Process::new(format!("agent-{n}"), 2));
     let again = View::new(2, again);
     restarted.adopt(again.clone());
@@ -91,63 +91,67 @@
     }
     assert_eq!(restarted.settled_at(2), Some(NOW));
 
-    let mut replaced = settlement(&[view(1, 0..3), view(2, [0, 3, 4])]);
+    let mut replaced = history(&[view(1, 0..3), view(2, [0, 3, 4])]);
     confirm(&mut replaced, [0, 3], 2);
     assert_eq!(replaced.settled_at(2), None);
-    replaced.retire(agent(1), 2);
+    replaced.record_retirement(agent(1), 2);
     confirm(&mut replaced, [4], 2);
     assert_eq!(replaced.settled_at(2), Some(NOW));
 }
 
 #[test]
 fn authority_ends_half_a_lease_after_the_majoritys_pings() {
-    let mut settlement = settlement(&[view(1, 0..3)]);
+    let mut history = history(&[view(1, 0..3)]);
     let sent = [NOW, NOW.plus(Duration::from_millis(10)), NOW.minus(LEASE)];
     for (n, sent) in (0..).zip(sent) {
-        settlement.confirm(&agent(n), 1, Duration::ZERO, sent, NOW);
-        assert_eq!(settlement.authority_until().is_some(), n > 0);
+        history.confirm(&agent(n), 1, Duration::ZERO, sent, NOW);
+        assert_eq!(history.authority_until().is_some(), n > 0);
     }
-    assert_eq!(settlement.authority_until(), Some(NOW.plus(LEASE / 2)));
+    assert_eq!(history.authority_until(), Some(NOW.plus(LEASE / 2)));
 }
 
 #[test]
 fn members_of_a_later_view_give_no_authority() {
-    let mut settlement = settlement(&[view(1, 0..3)]);
-    confirm(&mut settlement, 0..3, 2);
-    assert_eq!(settlement.authority_until(), None);
+    let mut history = history(&[view(1, 0..3)]);
+    confirm(&mut history, 0..3, 2);
+    assert_eq!(history.authority_until(), None);
 }
 
 #[test]
-fn a_change_leaves_the_jobs_of_other_keepers_native() {
-    let mut settlement = settlement(&[view(1, 0..6)]);
-    confirm(&mut settlement, 0..6, 1);
-    settlement.adopt(view(2, 1..6));
+fn a_change_leaves_the_jobs_of_other_keepers_grantable_without_a_gather() {
+    let mut history = history(&[view(1, 0..6)]);
+    confirm(&mut history, 0..6, 1);
+    history.adopt(view(2, 1..6));
     for job in jobs(MARGIN) {
-        let scope = settlement.scope(job, NOW).unwrap();
+        let scope = history.scope(job, NOW).unwrap();
         let same = view(1, 0..6).keeper(job) != Some(&agent(0));
-        assert_eq!((scope.since, scope.native), (1, same));
-        assert_eq!(scope.exempt.is_some(), same);
+        assert_eq!((scope.oldest_view, scope.sole_keeper), (1, same));
+        assert_eq!(scope.exempt_keeper.is_some(), same);
         // An agent that kept the job in all its views has run none of its tasks.
-        let reach = settlement.reach(job, &scope);
+        let reach = history.gather_targets(job, &scope);
         assert_eq!(reach.contains(&agent(0)), same);
         assert_eq!(reach.len(), 5);
     }
-    settlement.retire(agent(0), 2);
+    history.record_retirement(agent(0), 2);
     let job = Job::with_bits(NOW.plus(MARGIN), 1);
-    let scope = settlement.scope(job, NOW);
-    assert!(!settlement.reach(job, &scope.unwrap()).contains(&agent(0)));
+    let scope = history.scope(job, NOW);
+    assert!(
+        !history
+            .gather_targets(job, &scope.unwrap())
+            .contains(&agent(0))
+    );
 }
 
 #[test]
-fn a_job_issued_before_the_view_was_settled_is_not_native() {
-    let mut settlement = settlement(&[view(1, 0..3)]);
-    confirm(&mut settlement, 0..3, 1);
+fn a_job_issued_before_the_view_was_settled_is_not_granted_without_a_gather() {
+    let mut history = history(&[view(1, 0..3)]);
+    confirm(&mut history, 0..3, 1);
     for job in jobs(MARGIN - Duration::from_millis(1)) {
-        let scope = settlement.scope(job, NOW).unwrap();
-        assert!(!scope.native && scope.exempt.is_none());
+        let scope = history.scope(job, NOW).unwrap();
+        assert!(!scope.sole_keeper && scope.exempt_keeper.is_none());
     }
     let before = Job::with_bits(NOW.minus(MARGIN), 1);
-    assert_eq!(settlement.scope(before, NOW), None);
+    assert_eq!(history.scope(before, NOW), None);
 }
 
 // An entry starts before the first agent has announced itself. It begins with a view
@@ -155,29 +159,32 @@
 // and every job was gathered from all agents for as long as the entry lived.
 #[test]
 fn an_entry_that_started_before_all_agents_settles_their_view() {
-    let mut settlement = settlement(&[view(0, []), view(3, 0..3)]);
-    confirm(&mut settlement, 0..3, 3);
-    assert_eq!(settlement.settled_at(3), Some(NOW));
+    let mut history = history(&[view(0, []), view(3, 0..3)]);
+    confirm(&mut history, 0..3, 3);
+    assert_eq!(history.settled_at(3), Some(NOW));
 }
 
 // An agent dies and comes back under its name. Jobs issued after that cannot have run at
 // the dead process; a gather that waited for it would fail them until its return settled.
 #[test]
 fn a_job_issued_after_an_agents_return_needs_no_word_of_its_earlier_life() {
-    let mut settlement = settlement(&[view(1, 0..4)]);
-    confirm(&mut settlement, 0..4, 1);
+    let mut history = history(&[view(1, 0..4)]);
+    confirm(&mut history, 0..4, 1);
     let back = Process::new("agent-0", 2);
     let members = (1..4).map(agent).chain([back.clone()]);
-    settlement.adopt(View::new(2, members));
+    history.adopt(View::new(2, members));
     let returned = NOW.plus(MARGIN * 3);
-    settlement.succeed(&back, returned);
+    history.record_successor(&back, returned);
     for job in jobs(MARGIN * 2) {
-        let scope = settlement.scope(job, NOW).unwrap();
+        let scope = history.scope(job, NOW).unwrap();
         let kept = view(1, 0..4).keeper(job) == Some(&agent(0));
-        assert_eq!(settlement.reach(job, &scope).contains(&agent(0)), !kept);
+        assert_eq!(
+            history.gather_targets(job, &scope).contains(&agent(0)),
+            !kept
+        );
     }
     for job in jobs(MARGIN * 3) {
-        let scope = settlement.scope(job, NOW).unwrap();
-        assert!(!settlement.reach(job, &scope).contains(&agent(0)));
+        let scope = history.scope(job, NOW).unwrap();
+        assert!(!history.gather_targets(job, &scope).contains(&agent(0)));
     }
 }
--- a/crates/cassiarock-entry/src/state/mod.rs
+++ b/crates/cassiarock-entry/src/state/mod.rs
@@ -19,7 +19,7 @@
 pub(crate) use setting::Setting;
 
 use cassiarock_caller::Answer;
-use cassiarock_claim::view::Settlement;
+use cassiarock_claim::view::ViewHistory;
 use cassiarock_id::{Job, Name, Process, Task};
 use cassiarock_policy::dispatch::Dispatcher;
 use cassiarock_process::{Behind, Now};
@@ -36,7 +36,7 @@
 pub(crate) struct State {
     setting: Setting,
     rules: Arc<rule::State>,
-    views: Settlement,
+    views: ViewHistory,
     /// The decisions about each pool.
     pools: HashMap<Name, Dispatcher>,
     /// The pool of each linked agent.
@@ -84,7 +84,7 @@
 impl State {
     pub(crate) fn new(setting: Setting, now: Now) -> Self {
         Self {
-            views: Settlement::new(setting.timing(), now.wall),
+            views: ViewHistory::new(setting.timing(), now.wall),
             setting,
             rules: Arc::default(),
             pools: HashMap::new(),
--- a/crates/cassiarock-entry/src/state/views.rs
+++ b/crates/cassiarock-entry/src/state/views.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, State};
 use cassiarock_claim::owner::Event;
-use cassiarock_claim::view::{Settlement, View};
+use cassiarock_claim::view::{View, ViewHistory};
 use cassiarock_process::Now;
 use cassiarock_rule as rule;
 use std::sync::Arc;
@@ -45,17 +45,17 @@
         let known = self.views.version();
         if known.is_none_or(|known| !membership.history.is_whole_since(known)) {
             let since = membership.history.known_since();
-            self.views = Settlement::new(self.setting.timing(), since);
+            self.views = ViewHistory::new(self.setting.timing(), since);
         }
         for view in membership.views(known.unwrap_or_default()) {
             self.views.adopt(View::new(view.version, view.members));
             if let Some((joined, at)) = view.joined {
                 // One clock is the agent's that joined, the other the caller's.
                 let from = at.plus(self.setting.clock_skew * 2);
-                self.views.succeed(&joined, from);
+                self.views.record_successor(&joined, from);
             }
             if let Some(retired) = view.retired {
-                self.views.retire(retired, view.version);
+                self.views.record_retirement(retired, view.version);
             }
         }
         let members = membership.members.values();
--- a/examples/capacity/decisions.rs
+++ b/examples/capacity/decisions.rs
@@ -43,7 +43,7 @@
             digest: bits,
             purpose: Purpose::Claim,
             view: 1,
-            native: true,
+            sole_keeper: true,
             ballot: ballot.clone().with_serial(bits),
         };
         black_box(keeper.answer(&ask, &view, now));
