--- a/crates/cassiarock-agent/src/run.rs
+++ b/crates/cassiarock-agent/src/run.rs
@@ -4,7 +4,7 @@
 use crate::state::State;
 use crate::{Error, announce, health, leave};
 use axum::Router;
-use cassiarock_claim::Limit;
+use cassiarock_claim::RetentionLimit;
 use cassiarock_id::{Process, Wall};
 use cassiarock_peer::{Identity, Key, Links, Listener, Tempo};
 use cassiarock_platform::neighbour::Neighbours;
@@ -236,7 +236,7 @@
     status: watch::Sender<Status>,
     received: mpsc::Receiver<Input>,
 ) -> impl Future<Output = ()> + use<> {
-    let limit = Limit::new(settings.ledger.age, settings.ledger.bytes);
+    let limit = RetentionLimit::new(settings.ledger.age, settings.ledger.bytes);
     let slots = u16::try_from(settings.slots).unwrap_or(u16::MAX);
     let slots = slot::Setting::new(slots).with_weight(settings.weight);
     let agent = Agent {
--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -57,7 +57,11 @@
 }
 
 impl State {
-    pub(crate) fn new(me: Process, slots: Setting, limit: cassiarock_claim::Limit) -> Self {
+    pub(crate) fn new(
+        me: Process,
+        slots: Setting,
+        limit: cassiarock_claim::RetentionLimit,
+    ) -> Self {
         Self {
             ledger: Ledger::new(me.clone(), limit),
             keeper: Keeper::new(me.clone(), limit),
--- a/crates/cassiarock-claim/examples/costs.rs
+++ b/crates/cassiarock-claim/examples/costs.rs
@@ -9,7 +9,7 @@
 use cassiarock_claim::message::{ClaimReply, ClaimRequest, Outcome, Purpose, Start};
 use cassiarock_claim::owner::{Action, Event, Owner};
 use cassiarock_claim::view::{Timing, View, ViewHistory};
-use cassiarock_claim::{Ballot, Limit};
+use cassiarock_claim::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -49,7 +49,7 @@
     let timing = Timing::new(LEASE, Duration::ZERO, KEPT);
     let mut views = ViewHistory::new(timing, NOW);
     views.adopt(view.clone());
-    let limit = Limit::new(KEPT, usize::MAX);
+    let limit = RetentionLimit::new(KEPT, usize::MAX);
     let mut built = BTreeMap::new();
     for agent in view.members.iter() {
         views.confirm(agent, 1, LEASE, NOW, NOW);
@@ -164,7 +164,10 @@
     const JOBS: u32 = 20_000;
     let entry = Process::new("entry-1", 1);
     let run = |guarded: bool| {
-        let mut ledger = Ledger::new(Process::new("agent-1", 1), Limit::new(KEPT, usize::MAX));
+        let mut ledger = Ledger::new(
+            Process::new("agent-1", 1),
+            RetentionLimit::new(KEPT, usize::MAX),
+        );
         let began = Instant::now();
         for bits in 0..JOBS {
             let job = Job::with_bits(NOW, u64::from(bits));
@@ -188,7 +191,10 @@
     println!("an agent's decisions per task (start, begin, end): guarded {guarded}, not {free}");
     let run = || {
         let view = View::new(1, [Process::new("agent-1", 1)]);
-        let mut keeper = Keeper::new(view.members[0].clone(), Limit::new(KEPT, usize::MAX));
+        let mut keeper = Keeper::new(
+            view.members[0].clone(),
+            RetentionLimit::new(KEPT, usize::MAX),
+        );
         let began = Instant::now();
         for bits in 0..JOBS {
             let ask = ask(Job::with_bits(NOW, u64::from(bits)));
@@ -207,7 +213,10 @@
     // Kept to the end, so that no ledger grows into the memory of the one before.
     let mut kept = Vec::new();
     for tasks in [1, TASKS, 100] {
-        let mut ledger = Ledger::new(Process::new("agent-1", 1), Limit::new(KEPT, usize::MAX));
+        let mut ledger = Ledger::new(
+            Process::new("agent-1", 1),
+            RetentionLimit::new(KEPT, usize::MAX),
+        );
         let before = resident();
         let jobs = JOBS / u64::from(tasks);
         for bits in 0..jobs {
@@ -235,7 +244,7 @@
     const JOBS: u64 = 100_000;
     let me = Process::new("agent-1", 1);
     let view = View::new(1, [me.clone()]);
-    let mut keeper = Keeper::new(me, Limit::new(KEPT, usize::MAX));
+    let mut keeper = Keeper::new(me, RetentionLimit::new(KEPT, usize::MAX));
     let before = resident();
     for bits in 0..JOBS {
         keeper.answer(&ask(Job::with_bits(NOW, bits)), &view, NOW);
--- a/crates/cassiarock-claim/src/keeper/book.rs
+++ b/crates/cassiarock-claim/src/keeper/book.rs
@@ -4,7 +4,7 @@
 use crate::limit::{Floor, MAP_ROOM, NAME_BYTES};
 use crate::message::{ClaimRecord, ClaimReply, ClaimRequest, Purpose};
 use crate::view::View;
-use crate::{Ballot, Limit};
+use crate::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Wall};
 use std::collections::BTreeMap;
 use std::mem::size_of;
@@ -18,13 +18,13 @@
 /// use cassiarock_claim::keeper::Keeper;
 /// use cassiarock_claim::message::{ClaimReply, ClaimRequest, Purpose};
 /// use cassiarock_claim::view::View;
-/// use cassiarock_claim::{Ballot, Limit};
+/// use cassiarock_claim::{Ballot, RetentionLimit};
 /// use cassiarock_id::{Job, Process, Wall};
 /// use std::time::Duration;
 ///
 /// let me = Process::new("agent-1", 1);
 /// let view = View::new(1, [me.clone()]);
-/// let mut keeper = Keeper::new(me, Limit::new(Duration::from_secs(600), 1 << 20));
+/// let mut keeper = Keeper::new(me, RetentionLimit::new(Duration::from_secs(600), 1 << 20));
 /// let now = Wall::from_millis(1_000_000);
 /// let request = ClaimRequest {
 ///     job: Job::with_bits(now, 1),
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct Keeper {
     me: Process,
-    limit: Limit,
+    limit: RetentionLimit,
     floor: Floor,
     latest: Wall,
     /// Whether all claims were handed over to others.
@@ -58,7 +58,7 @@
 impl Keeper {
     /// The keeper of no jobs yet.
     #[must_use]
-    pub const fn new(me: Process, limit: Limit) -> Self {
+    pub const fn new(me: Process, limit: RetentionLimit) -> Self {
         Self {
             me,
             limit,
@@ -97,12 +97,12 @@
     /// then on it grants nothing and sends entries to read up.
     ///
     /// ```
-    /// use cassiarock_claim::Limit;
+    /// use cassiarock_claim::RetentionLimit;
     /// use cassiarock_claim::keeper::Keeper;
     /// use cassiarock_claim::view::View;
     /// use cassiarock_id::Process;
     /// let me = Process::new("agent-1", 1);
-    /// let limit = Limit::new(std::time::Duration::from_secs(600), 1 << 20);
+    /// let limit = RetentionLimit::new(std::time::Duration::from_secs(600), 1 << 20);
     /// let mut keeper = Keeper::new(me.clone(), limit);
     /// assert!(keeper.hand_over(&View::new(1, [me])).is_empty());
     /// ```
@@ -136,11 +136,11 @@
     /// Forgets claims older than the limit's age, and above its bytes the oldest ones.
     pub fn evict(&mut self, now: Wall) {
         self.latest = self.latest.max(now);
-        let oldest = self.latest.minus(self.limit.kept);
+        let oldest = self.latest.minus(self.limit.max_age);
         self.floor.raise(oldest);
         while let Some(first) = self.jobs.first_entry() {
             let job = *first.key();
-            if self.floor.covers(job) || self.bytes() > self.limit.bytes {
+            if self.floor.covers(job) || self.bytes() > self.limit.max_bytes {
                 self.jobs.remove(&job);
                 self.floor.raise(job.issued());
             } else {
@@ -176,7 +176,7 @@
     }
 
     fn is_forgotten(&self, job: Job) -> bool {
-        self.floor.covers(job) || job.issued() <= self.latest.minus(self.limit.kept)
+        self.floor.covers(job) || job.issued() <= self.latest.minus(self.limit.max_age)
     }
 }
 
--- a/crates/cassiarock-claim/src/ledger/book.rs
+++ b/crates/cassiarock-claim/src/ledger/book.rs
@@ -5,7 +5,7 @@
 use crate::guard;
 use crate::limit::Floor;
 use crate::message::{Outcome, Reject, Start};
-use crate::{Ballot, Limit};
+use crate::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeMap;
 
@@ -27,11 +27,11 @@
 /// ```
 /// use cassiarock_claim::ledger::{Ledger, StartDecision};
 /// use cassiarock_claim::message::{Outcome, Start};
-/// use cassiarock_claim::{Ballot, Limit};
+/// use cassiarock_claim::{Ballot, RetentionLimit};
 /// use cassiarock_id::{Job, Process, Task, Wall};
 /// use std::time::Duration;
 ///
-/// let limit = Limit::new(Duration::from_secs(600), 1 << 20);
+/// let limit = RetentionLimit::new(Duration::from_secs(600), 1 << 20);
 /// let mut ledger = Ledger::new(Process::new("agent-1", 1), limit);
 /// let now = Wall::from_millis(1_000_000);
 /// let start = Start {
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct Ledger {
     pub(super) me: Process,
-    limit: Limit,
+    limit: RetentionLimit,
     /// The latest membership version, and the one at which this agent joined.
     pub(super) view: u64,
     joined: Option<u64>,
@@ -77,7 +77,7 @@
 impl Ledger {
     /// The empty ledger of the agent `me`.
     #[must_use]
-    pub const fn new(me: Process, limit: Limit) -> Self {
+    pub const fn new(me: Process, limit: RetentionLimit) -> Self {
         Self {
             me,
             limit,
@@ -114,7 +114,7 @@
     pub fn start(&mut self, start: &Start, now: Wall) -> StartDecision {
         self.latest = self.latest.max(now);
         // Before the checks, as the job itself may be forgotten by it.
-        if self.bytes >= self.limit.bytes {
+        if self.bytes >= self.limit.max_bytes {
             self.evict(now);
         }
         let known = self.jobs.get(&start.job);
@@ -131,7 +131,7 @@
         if start.ballot.round == Ballot::UNCLAIMED {
             return StartDecision::Run;
         }
-        if self.bytes >= self.limit.bytes {
+        if self.bytes >= self.limit.max_bytes {
             self.put(start, Stage::Void);
             return StartDecision::Rejected(Reject::Full);
         }
@@ -193,9 +193,9 @@
     /// none with a task that waits or runs.
     pub fn evict(&mut self, now: Wall) {
         self.latest = self.latest.max(now);
-        let oldest = self.latest.minus(self.limit.kept);
+        let oldest = self.latest.minus(self.limit.max_age);
         self.floor.raise(oldest);
-        let mut excess = self.bytes.saturating_sub(self.limit.bytes / 10 * 9);
+        let mut excess = self.bytes.saturating_sub(self.limit.max_bytes / 10 * 9);
         let mut gone = Vec::new();
         for (job, record) in &self.jobs {
             if excess == 0 && job.issued() > oldest {
@@ -269,7 +269,7 @@
     }
 
     pub(super) fn is_forgotten(&self, job: Job) -> bool {
-        self.floor.covers(job) || job.issued() <= self.latest.minus(self.limit.kept)
+        self.floor.covers(job) || job.issued() <= self.latest.minus(self.limit.max_age)
     }
 
     pub(super) fn slot(&mut self, job: Job, task: Task) -> Option<&mut Slot> {
--- a/crates/cassiarock-claim/src/ledger/handover.rs
+++ b/crates/cassiarock-claim/src/ledger/handover.rs
@@ -28,12 +28,12 @@
     /// three others are members at all.
     ///
     /// ```
-    /// use cassiarock_claim::Limit;
+    /// use cassiarock_claim::RetentionLimit;
     /// use cassiarock_claim::ledger::Ledger;
     /// use cassiarock_claim::view::View;
     /// use cassiarock_id::Process;
     /// let me = Process::new("agent-1", 1);
-    /// let limit = Limit::new(std::time::Duration::from_secs(600), 1 << 20);
+    /// let limit = RetentionLimit::new(std::time::Duration::from_secs(600), 1 << 20);
     /// let mut ledger = Ledger::new(me.clone(), limit);
     /// assert!(ledger.hand_over(&View::new(1, [me])).is_empty());
     /// ```
@@ -60,10 +60,10 @@
     /// what it took from it.
     ///
     /// ```
-    /// use cassiarock_claim::Limit;
+    /// use cassiarock_claim::RetentionLimit;
     /// use cassiarock_claim::ledger::Ledger;
     /// use cassiarock_id::Process;
-    /// let limit = Limit::new(std::time::Duration::from_secs(600), 1 << 20);
+    /// let limit = RetentionLimit::new(std::time::Duration::from_secs(600), 1 << 20);
     /// let ledger = Ledger::new(Process::new("agent-1", 1), limit);
     /// assert!(ledger.may_take(&Process::new("agent-2", 1)));
     /// ```
--- a/crates/cassiarock-claim/src/lib.rs
+++ b/crates/cassiarock-claim/src/lib.rs
@@ -12,4 +12,4 @@
 pub mod view;
 
 pub use ballot::Ballot;
-pub use limit::Limit;
+pub use limit::RetentionLimit;
--- a/crates/cassiarock-claim/src/limit.rs
+++ b/crates/cassiarock-claim/src/limit.rs
@@ -6,24 +6,24 @@
 /// The bounds of a memory that must not grow with the number of jobs ever seen.
 ///
 /// ```
-/// use cassiarock_claim::Limit;
-/// let limit = Limit::new(std::time::Duration::from_secs(600), 1 << 20);
-/// assert_eq!(limit.bytes, 1 << 20);
+/// use cassiarock_claim::RetentionLimit;
+/// let limit = RetentionLimit::new(std::time::Duration::from_secs(600), 1 << 20);
+/// assert_eq!(limit.max_bytes, 1 << 20);
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Limit {
+pub struct RetentionLimit {
     /// How long after its issue a job is remembered. It must exceed the longest time
     /// in which callers resubmit, as an older id is answered "forgotten".
-    pub kept: Duration,
+    pub max_age: Duration,
     /// Bytes of memory in all. Above it the oldest jobs are forgotten early.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
-impl Limit {
-    /// Jobs are kept for `kept` after their issue, in at most `bytes` bytes.
+impl RetentionLimit {
+    /// Jobs are kept for `max_age` after their issue, in at most `max_bytes` bytes.
     #[must_use]
-    pub const fn new(kept: Duration, bytes: usize) -> Self {
-        Self { kept, bytes }
+    pub const fn new(max_age: Duration, max_bytes: usize) -> Self {
+        Self { max_age, max_bytes }
     }
 }
 
--- a/crates/cassiarock-claim/src/view/history.rs
+++ b/crates/cassiarock-claim/src/view/history.rs
@@ -24,7 +24,7 @@
     /// How long after a view was settled a job must have been issued to count as born
     /// within it. `lease / 2 + margin` must exceed twice the clock skew.
     pub margin: Duration,
-    /// How long jobs are remembered, as in `Limit::kept`.
+    /// How long jobs are remembered, as in `RetentionLimit::max_age`.
     pub retention: Duration,
 }
 
--- a/crates/cassiarock-claim/tests/keeper.rs
+++ b/crates/cassiarock-claim/tests/keeper.rs
@@ -3,7 +3,7 @@
 use cassiarock_claim::keeper::Keeper;
 use cassiarock_claim::message::{ClaimReply, ClaimRequest, Purpose};
 use cassiarock_claim::view::View;
-use cassiarock_claim::{Ballot, Limit};
+use cassiarock_claim::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Wall};
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 fn keeper(me: &Process) -> Keeper {
-    Keeper::new(me.clone(), Limit::new(KEPT, 4_000))
+    Keeper::new(me.clone(), RetentionLimit::new(KEPT, 4_000))
 }
 
 fn ballot(round: u32, entry: u64) -> Ballot {
--- a/crates/cassiarock-claim/tests/ledger.rs
+++ b/crates/cassiarock-claim/tests/ledger.rs
@@ -3,7 +3,7 @@
 use cassiarock_claim::ledger::{CancelDecision, Ledger, StartDecision};
 use cassiarock_claim::message::{Cancel, Fence, Outcome, Reject, Start, TaskState};
 use cassiarock_claim::view::View;
-use cassiarock_claim::{Ballot, Limit};
+use cassiarock_claim::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const KEPT: Duration = Duration::from_secs(600);
 
 fn ledger() -> Ledger {
-    let mut ledger = Ledger::new(agent(1), Limit::new(KEPT, 4_000));
+    let mut ledger = Ledger::new(agent(1), RetentionLimit::new(KEPT, 4_000));
     ledger.set_view(5);
     ledger
 }
@@ -219,7 +219,7 @@
     assert_eq!(sent.len(), 2);
     for (to, kept) in sent {
         assert_ne!(to, agent(1));
-        let mut next = Ledger::new(to, Limit::new(KEPT, 4_000));
+        let mut next = Ledger::new(to, RetentionLimit::new(KEPT, 4_000));
         next.take(kept, leaving.floor());
         let fenced = next.fence(&later, NOW);
         let tasks = fenced.unwrap().report.tasks;
@@ -237,7 +237,7 @@
     let sent = leaving.hand_over(&View::new(5, (1..5).map(agent)));
     assert_eq!(sent.len(), 2);
     for (to, kept) in sent {
-        let mut next = Ledger::new(to, Limit::new(KEPT, 4_000));
+        let mut next = Ledger::new(to, RetentionLimit::new(KEPT, 4_000));
         let before = next.fence(&fence(&old, ballot(2, 1), false), NOW);
         assert!(before.is_ok());
         next.take(kept, leaving.floor());
--- a/crates/cassiarock-claim/tests/mutants.rs
+++ b/crates/cassiarock-claim/tests/mutants.rs
@@ -26,7 +26,7 @@
 
 use ballot::Ballot;
 use guard::Check;
-use limit::Limit;
+use limit::RetentionLimit;
 use sim::Step::{self, *};
 
 /// More than in `promises.rs`, to leave room; a search ends with the first fault met.
@@ -34,7 +34,7 @@
 const LENGTH: usize = 300;
 
 mod claim {
-    pub(crate) use crate::{Ballot, Limit, keeper, ledger, message, owner, view};
+    pub(crate) use crate::{Ballot, RetentionLimit, keeper, ledger, message, owner, view};
 }
 
 #[yare::parameterized(
--- a/crates/cassiarock-claim/tests/sim/agent.rs
+++ b/crates/cassiarock-claim/tests/sim/agent.rs
@@ -5,7 +5,7 @@
 use crate::claim::ledger::{CancelDecision, Ledger, StartDecision};
 use crate::claim::message::{Cancel, Fence, Outcome, Reject, Start};
 use crate::claim::view::View;
-use crate::claim::{Ballot, Limit};
+use crate::claim::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -43,10 +43,10 @@
         skew: u64,
         bytes: usize,
     ) -> Self {
-        let mut ledger = Ledger::new(me.clone(), Limit::new(KEPT, bytes));
+        let mut ledger = Ledger::new(me.clone(), RetentionLimit::new(KEPT, bytes));
         ledger.set_view(log[held].view.version);
         Self {
-            keeper: Keeper::new(me.clone(), Limit::new(KEPT, bytes)),
+            keeper: Keeper::new(me.clone(), RetentionLimit::new(KEPT, bytes)),
             me,
             ledger,
             held,
--- a/examples/capacity/decisions.rs
+++ b/examples/capacity/decisions.rs
@@ -4,7 +4,7 @@
 use cassiarock_claim::ledger::Ledger;
 use cassiarock_claim::message::{ClaimRequest, Outcome, Purpose, Start};
 use cassiarock_claim::view::View;
-use cassiarock_claim::{Ballot, Limit};
+use cassiarock_claim::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_rule::record::Body;
 use cassiarock_rule::{Member, Record, State};
@@ -19,7 +19,7 @@
 const COUNT: u64 = 100_000;
 
 pub fn measure() -> Value {
-    let limit = Limit::new(Duration::from_secs(900), 1 << 30);
+    let limit = RetentionLimit::new(Duration::from_secs(900), 1 << 30);
     let values = json!({
         "claim": claims(limit),
         "start": starts(limit),
@@ -30,7 +30,7 @@
     values
 }
 
-fn claims(limit: Limit) -> Value {
+fn claims(limit: RetentionLimit) -> Value {
     let me = Process::new("agent-0", 1);
     let view = View::new(1, [me.clone()]);
     let mut keeper = Keeper::new(me, limit);
@@ -51,7 +51,7 @@
     json!({ "ns": nanos(began), "bytes": keeper.bytes() as f64 / COUNT as f64 })
 }
 
-fn starts(limit: Limit) -> Value {
+fn starts(limit: RetentionLimit) -> Value {
     let mut ledger = Ledger::new(Process::new("agent-0", 1), limit);
     ledger.set_view(1);
     let now = Wall::from_millis(1_000_000);
