--- a/crates/cassiarock-agent/src/state/claims.rs
+++ b/crates/cassiarock-agent/src/state/claims.rs
@@ -79,10 +79,10 @@
     }
 
     pub(super) fn take(&mut self, agent: &Process, records: HandOver) -> Vec<Action> {
-        let accepted = self.ledger.may_take(agent);
+        let accepted = self.ledger.accepts_handover_from(agent);
         if accepted {
-            self.keeper.take(records.claims);
-            self.ledger.take(records.kept, records.floor);
+            self.keeper.accept_handover(records.claims);
+            self.ledger.accept_handover(records.kept, records.floor);
         }
         let receipt = Frame::TakenOver(TakenOver { accepted });
         vec![Action::Send(agent.clone(), receipt)]
--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -184,7 +184,7 @@
     /// Takes new work again. The entries learn it from the membership.
     pub(crate) const fn stay(&mut self) {
         self.leaving = false;
-        self.ledger.stay();
+        self.ledger.cancel_leave();
     }
 
     /// How many tasks wait and how many run.
--- a/crates/cassiarock-agent/src/state/tasks.rs
+++ b/crates/cassiarock-agent/src/state/tasks.rs
@@ -60,7 +60,7 @@
             // Only after the ledger was asked: a repeat of a task that runs here must not be
             // told that it has not started, and a refused start must stay refused.
             StartDecision::Run if !self.healthy => {
-                self.ledger.refuse(&start);
+                self.ledger.withdraw_start(&start);
                 refused.push((work, Some(Reject::Full)));
             }
             StartDecision::Run => accepted.push(work),
@@ -86,7 +86,7 @@
                 self.queued.insert(work.key(), work);
             }
             slot::Verdict::Full => {
-                self.ledger.refuse(&work.run.start(&work.item));
+                self.ledger.withdraw_start(&work.run.start(&work.item));
                 refused.push((work, Some(Reject::Full)));
             }
         }
@@ -139,7 +139,7 @@
         let Some(work) = self.running.remove(&key) else {
             return Vec::new();
         };
-        let told = self.ledger.revert(key.job, key.task);
+        let told = self.ledger.revert_begin(key.job, key.task);
         let finish = self.pool.finish(&key, now.up);
         let mut actions = vec![rejected(&work, Reject::Full, finish.load)];
         // An attempt that took the job over waits for the task, too.
@@ -219,7 +219,7 @@
         let mut actions = Vec::new();
         for work in queued {
             self.pool.cancel(&work.key());
-            self.ledger.refuse(&work.run.start(&work.item));
+            self.ledger.withdraw_start(&work.run.start(&work.item));
             let load = self.load_for(&work.entry, now);
             actions.push(rejected(&work, Reject::Leaving, load));
         }
--- a/crates/cassiarock-claim/src/keeper/book.rs
+++ b/crates/cassiarock-claim/src/keeper/book.rs
@@ -121,7 +121,7 @@
 
     /// Takes over claims from a leaving keeper. Of two records of one job the higher
     /// attempt stays; a closed job stays closed.
-    pub fn take(&mut self, records: Vec<ClaimRecord>) {
+    pub fn accept_handover(&mut self, records: Vec<ClaimRecord>) {
         for record in records {
             match self.jobs.get_mut(&record.job) {
                 Some(known) => merge(known, record),
--- a/crates/cassiarock-claim/src/ledger/book.rs
+++ b/crates/cassiarock-claim/src/ledger/book.rs
@@ -106,7 +106,7 @@
     }
 
     /// Takes [`Ledger::leave`] back, unless all was handed over already.
-    pub const fn stay(&mut self) {
+    pub const fn cancel_leave(&mut self) {
         self.leaving = self.handed;
     }
 
@@ -142,7 +142,7 @@
     /// Takes back an accepted start for which the agent has no room; the agent answers
     /// `Reject::Full`. The rejected placement stays rejected, because a second copy of
     /// the message may still be on its way while the task is placed elsewhere.
-    pub fn refuse(&mut self, start: &Start) {
+    pub fn withdraw_start(&mut self, start: &Start) {
         let slot = self.slot(start.job, start.task);
         if let Some(slot) = slot.filter(|slot| matches!(slot.stage, Stage::Waiting)) {
             slot.stage = Stage::Void;
@@ -162,10 +162,10 @@
 
     /// Takes back [`Ledger::begin`] for a task that is proved not to have reached the
     /// worker: no connection came about. Its placement stays rejected, as by
-    /// [`Ledger::refuse`], and the task may be placed again. Returns the attempts to be
+    /// [`Ledger::withdraw_start`], and the task may be placed again. Returns the attempts to be
     /// told, each with the placement that the reject is to carry: 0 for those that
     /// attached to the task after another one had placed it.
-    pub fn revert(&mut self, job: Job, task: Task) -> Vec<(Ballot, u32)> {
+    pub fn revert_begin(&mut self, job: Job, task: Task) -> Vec<(Ballot, u32)> {
         let slot = self.slot(job, task);
         let Some(slot) = slot.filter(|slot| matches!(slot.stage, Stage::Running)) else {
             return Vec::new();
--- a/crates/cassiarock-claim/src/ledger/handover.rs
+++ b/crates/cassiarock-claim/src/ledger/handover.rs
@@ -23,7 +23,7 @@
     ///
     /// `view` must be the newest on the log, and the record that announces the end must
     /// directly follow it there; otherwise a successor may have been removed meanwhile,
-    /// and the hand-over is done again. Members that refused (see [`Ledger::may_take`])
+    /// and the hand-over is done again. Members that refused (see [`Ledger::accepts_handover_from`])
     /// are left out of `view`, as long as two others stay in it, or one where fewer than
     /// three others are members at all.
     ///
@@ -65,16 +65,16 @@
     /// use cassiarock_id::Process;
     /// let limit = RetentionLimit::new(std::time::Duration::from_secs(600), 1 << 20);
     /// let ledger = Ledger::new(Process::new("agent-1", 1), limit);
-    /// assert!(ledger.may_take(&Process::new("agent-2", 1)));
+    /// assert!(ledger.accepts_handover_from(&Process::new("agent-2", 1)));
     /// ```
     #[must_use]
-    pub fn may_take(&self, leaver: &Process) -> bool {
+    pub fn accepts_handover_from(&self, leaver: &Process) -> bool {
         !self.handed || *leaver < self.me
     }
 
     /// Takes over what a leaving agent knew, and its [`Ledger::floor`]. Jobs that this ledger may have forgotten
     /// are left out: their fences are answered "forgotten".
-    pub fn take(&mut self, records: Vec<LedgerRecord>, floor: Wall) {
+    pub fn accept_handover(&mut self, records: Vec<LedgerRecord>, floor: Wall) {
         self.inherited.raise(floor);
         for kept in records {
             if self.jobs.contains_key(&kept.job) || !self.floor.covers(kept.job) {
--- a/crates/cassiarock-claim/tests/keeper.rs
+++ b/crates/cassiarock-claim/tests/keeper.rs
@@ -167,7 +167,7 @@
     };
     assert_eq!(Some(to), rest.keeper(job()));
     let mut next = keeper(to);
-    next.take(records.clone());
+    next.accept_handover(records.clone());
     let answer = next.answer(&ask(2, Purpose::Claim), &rest, NOW);
     assert_eq!(answer, ClaimReply::Owned(ballot(1, 1)));
 }
--- a/crates/cassiarock-claim/tests/ledger.rs
+++ b/crates/cassiarock-claim/tests/ledger.rs
@@ -69,7 +69,7 @@
     let mut ledger = ledger();
     let first = start(1, ballot(1, 1));
     assert_eq!(ledger.start(&first, NOW), StartDecision::Run);
-    ledger.refuse(&first);
+    ledger.withdraw_start(&first);
     assert!(!ledger.begin(first.job, first.task));
     let again = ledger.start(&first, NOW);
     assert_eq!(again, StartDecision::Rejected(Reject::Cancelled));
@@ -220,7 +220,7 @@
     for (to, kept) in sent {
         assert_ne!(to, agent(1));
         let mut next = Ledger::new(to, RetentionLimit::new(KEPT, 4_000));
-        next.take(kept, leaving.floor());
+        next.accept_handover(kept, leaving.floor());
         let fenced = next.fence(&later, NOW);
         let tasks = fenced.unwrap().report.tasks;
         assert_eq!(tasks, [(Task(0), TaskState::Ended(done()))]);
@@ -240,7 +240,7 @@
         let mut next = Ledger::new(to, RetentionLimit::new(KEPT, 4_000));
         let before = next.fence(&fence(&old, ballot(2, 1), false), NOW);
         assert!(before.is_ok());
-        next.take(kept, leaving.floor());
+        next.accept_handover(kept, leaving.floor());
         let after = next.fence(&fence(&old, ballot(3, 1), false), NOW);
         assert_eq!(after, Err(Reject::Forgotten));
     }
--- a/crates/cassiarock-claim/tests/sim/agent.rs
+++ b/crates/cassiarock-claim/tests/sim/agent.rs
@@ -93,10 +93,10 @@
                 None => return Vec::new(),
             },
             Body::HandOver(claims, kept, floor) => {
-                let accepted = self.ledger.may_take(&from);
+                let accepted = self.ledger.accepts_handover_from(&from);
                 if accepted {
-                    self.keeper.take(claims);
-                    self.ledger.take(kept, floor);
+                    self.keeper.accept_handover(claims);
+                    self.ledger.accept_handover(kept, floor);
                     self.handing = None;
                 }
                 Body::TakenOver(accepted)
@@ -139,7 +139,7 @@
 
     pub fn revert(&mut self, at: usize) -> (Job, Task, Vec<Message>) {
         let (job, task, _) = self.running.remove(at);
-        let told = self.ledger.revert(job, task).into_iter();
+        let told = self.ledger.revert_begin(job, task).into_iter();
         let full = Reject::Full;
         let rejected = |(ballot, placement): (Ballot, u32)| {
             let entry = ballot.entry.clone();
@@ -186,7 +186,7 @@
         };
         match self.ledger.start(start, now) {
             StartDecision::Run if self.queue.len() >= QUEUE => {
-                self.ledger.refuse(start);
+                self.ledger.withdraw_start(start);
                 Some(rejected(Reject::Full))
             }
             StartDecision::Run => {
