--- a/crates/cassiarock-claim/src/owner/event.rs
+++ b/crates/cassiarock-claim/src/owner/event.rs
@@ -100,7 +100,7 @@
         /// The cancellation.
         cancel: Cancel,
     },
-    /// Tasks may be placed: see `Owner::startable`.
+    /// Tasks may be placed: see `Owner::startable_tasks`.
     Place,
     /// Another attempt owns the job: get the answer from its entry, or report
     /// `Event::OwnerLost`, also if that entry says that it does not hold the attempt
--- a/crates/cassiarock-claim/src/owner/gather.rs
+++ b/crates/cassiarock-claim/src/owner/gather.rs
@@ -154,7 +154,8 @@
         let Some(fresh) = views.scope(self.job, now) else {
             return self.fail(FailureReason::Forgotten);
         };
-        let able = |agent: &&Process| self.may_use(agent, views) && !self.lost.contains(*agent);
+        let able =
+            |agent: &&Process| self.may_place_at(agent, views) && !self.lost.contains(*agent);
         let witness = views
             .gather_targets(self.job, scope)
             .iter()
--- a/crates/cassiarock-claim/src/owner/machine.rs
+++ b/crates/cassiarock-claim/src/owner/machine.rs
@@ -61,7 +61,7 @@
 /// let granted = Event::ClaimReply { view: 1, reply: ClaimReply::Granted(mine) };
 /// assert_eq!(owner.step(granted, &views, now), [Action::Place]);
 /// let ballot = owner.ballot().clone();
-/// let agent = agents.iter().find(|agent| owner.may_use(agent, &views)).unwrap();
+/// let agent = agents.iter().find(|agent| owner.may_place_at(agent, &views)).unwrap();
 /// assert!(owner.place(Task(0), agent, now, &views).is_some());
 /// let done = Outcome::Done(b"ok".to_vec());
 /// let ended = Event::Ended { ballot, task: Task(0), outcome: done.clone() };
@@ -128,7 +128,7 @@
 
     /// The attempt to which this one is attached.
     #[must_use]
-    pub const fn attached(&self) -> Option<&Ballot> {
+    pub const fn attached_to(&self) -> Option<&Ballot> {
         match &self.phase {
             Phase::Attached(owner) => Some(owner),
             _ => None,
@@ -180,7 +180,7 @@
     }
 
     /// The tasks that may be placed now.
-    pub fn startable(&self) -> impl Iterator<Item = Task> {
+    pub fn startable_tasks(&self) -> impl Iterator<Item = Task> {
         let open = matches!(self.phase, Phase::Owning) && self.stop.is_none();
         self.tasks.free().filter(move |_| open)
     }
@@ -190,7 +190,7 @@
     /// the job's birth; under a gather a member since then is enough, because agents
     /// reject rivals that gather by an older view.
     #[must_use]
-    pub fn may_use(&self, agent: &Process, views: &ViewHistory) -> bool {
+    pub fn may_place_at(&self, agent: &Process, views: &ViewHistory) -> bool {
         let Some(scope) = &self.scope else {
             return false;
         };
@@ -215,7 +215,7 @@
     ) -> Option<Start> {
         let open = matches!(self.phase, Phase::Owning) && self.stop.is_none();
         let free = matches!(self.tasks.get(task), Some(Stand::Free));
-        if !open || !free || !self.may_use(agent, views) {
+        if !open || !free || !self.may_place_at(agent, views) {
             return None;
         }
         let scope = self.scope.as_ref()?;
--- a/crates/cassiarock-claim/src/owner/running.rs
+++ b/crates/cassiarock-claim/src/owner/running.rs
@@ -238,14 +238,14 @@
     /// Offers the free tasks for placement. Where every agent that may run them has gone,
     /// as in a rolling replacement, a gather lets those that came since run them.
     fn offer(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
-        if self.startable().next().is_none() {
+        if self.startable_tasks().next().is_none() {
             return Vec::new();
         }
         let mut members = views
             .view()
             .into_iter()
             .flat_map(|view| view.members.iter());
-        let usable = members.any(|agent| self.may_use(agent, views));
+        let usable = members.any(|agent| self.may_place_at(agent, views));
         let view = self.scope.as_ref().map(|scope| scope.view);
         let granted = self.ballot.round == Ballot::FRESH;
         if !usable && (granted || views.version() > view) {
--- a/crates/cassiarock-claim/tests/owner.rs
+++ b/crates/cassiarock-claim/tests/owner.rs
@@ -64,7 +64,7 @@
     /// Places a task at the first agent that may run it.
     fn place(&mut self, task: u16) -> (Process, Start) {
         let mut agents = (0..4).map(agent);
-        let agent = agents.find(|agent| self.owner.may_use(agent, &self.views));
+        let agent = agents.find(|agent| self.owner.may_place_at(agent, &self.views));
         let agent = agent.expect("an agent that is not the keeper");
         let start_by = NOW.plus(LEASE);
         let start = self.owner.place(Task(task), &agent, start_by, &self.views);
@@ -88,7 +88,7 @@
     let mut bench = Bench::new();
     let (agent, start) = bench.place(0);
     assert_eq!(bench.step(Event::AgentUnreachable(agent.clone())), []);
-    let open: Vec<_> = bench.owner.startable().collect();
+    let open: Vec<_> = bench.owner.startable_tasks().collect();
     assert_eq!(open, [Task(1)]);
     let again = bench.step(Event::AgentReachable(agent.clone()));
     assert_eq!(again, [Action::Start { agent, start }]);
@@ -103,7 +103,7 @@
     assert_eq!((first.placement, second.placement), (1, 2));
     // A second copy of the first reject says nothing about the second placement.
     assert_eq!(bench.reject(&first, Reject::Full), []);
-    assert!(!bench.owner.startable().any(|task| task == Task(0)));
+    assert!(!bench.owner.startable_tasks().any(|task| task == Task(0)));
 }
 
 #[test]
@@ -113,7 +113,7 @@
     let higher = ballot(2).with_round(2);
     let attached = bench.reject(&start, Reject::Fenced(higher.clone()));
     assert_eq!(attached, [Action::Attach(higher)]);
-    assert!(bench.owner.startable().next().is_none());
+    assert!(bench.owner.startable_tasks().next().is_none());
     let replaced = bench.step(Event::OwnerLost);
     let over = Purpose::TakeOver { over: 2 };
     assert!(
--- a/crates/cassiarock-claim/tests/sim/entry.rs
+++ b/crates/cassiarock-claim/tests/sim/entry.rs
@@ -100,7 +100,7 @@
         let mut sent = Vec::new();
         let start_by = clock(time, self.skew).plus(START);
         for held in self.jobs.values_mut() {
-            let tasks: Vec<_> = held.owner.startable().collect();
+            let tasks: Vec<_> = held.owner.startable_tasks().collect();
             for task in tasks {
                 let agent = &agents[(choice + task.index()) % agents.len()];
                 let start = held.owner.place(task, agent, start_by, &self.views);
@@ -206,7 +206,7 @@
     /// Asks the owners attached to for their answers again, or replaces those gone.
     pub fn reattach(&mut self, alive: &[Process], time: u64, truth: &mut Truth) -> Vec<Message> {
         let attached = |(job, held): (&Job, &Held)| {
-            let owner = held.owner.attached().filter(|_| held.end.is_none());
+            let owner = held.owner.attached_to().filter(|_| held.end.is_none());
             Some((*job, owner?.clone()))
         };
         let attached: Vec<_> = self.jobs.iter().filter_map(attached).collect();
--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/guarded.rs
@@ -232,7 +232,7 @@
         let Plan::Once(owner) = &work.plan else {
             return;
         };
-        let startable: Vec<Task> = owner.startable().collect();
+        let startable: Vec<Task> = owner.startable_tasks().collect();
         let pool = work.pool.clone();
         // The owner knows what may start, the pool what waits already.
         self.pool(&pool).withdraw(job);
