--- a/crates/cassiarock-agent/src/state/claims.rs
+++ b/crates/cassiarock-agent/src/state/claims.rs
@@ -4,7 +4,7 @@
 use super::{Action, State};
 use crate::actor::Handover;
 use cassiarock_claim::Ballot;
-use cassiarock_claim::message::{Answer, Ask, Fence, Reject, Report};
+use cassiarock_claim::message::{ClaimReply, ClaimRequest, Fence, FenceReport, Reject};
 use cassiarock_claim::view::View;
 use cassiarock_id::{Job, Name, Process};
 use cassiarock_policy::place::Key;
@@ -16,11 +16,11 @@
 const COPIES: usize = 2;
 
 impl State {
-    pub(super) fn ask(&mut self, entry: &Process, ask: &Ask, now: Now) -> Vec<Action> {
+    pub(super) fn ask(&mut self, entry: &Process, ask: &ClaimRequest, now: Now) -> Vec<Action> {
         let answer = self.keeper.answer(ask, &self.view, now.wall);
         log::debug!(job:% = ask.job, entry:% = entry, answer:? = answer; "claim");
         let owner = match &answer {
-            Answer::Owned(owner) => self.address(owner),
+            ClaimReply::Owned(owner) => self.address(owner),
             _ => None,
         };
         let answered = Answered {
@@ -57,7 +57,7 @@
         let owner = report
             .as_ref()
             .ok()
-            .and_then(|r: &Report| self.address(&r.ballot));
+            .and_then(|r: &FenceReport| self.address(&r.ballot));
         let reported = Reported {
             job: fence.job,
             ballot: fence.ballot.clone(),
@@ -79,10 +79,10 @@
     }
 
     pub(super) fn take(&mut self, agent: &Process, records: HandOver) -> Vec<Action> {
-        let accepted = self.ledger.may_take(agent);
+        let accepted = self.ledger.accepts_handover_from(agent);
         if accepted {
-            self.keeper.take(records.claims);
-            self.ledger.take(records.kept, records.floor);
+            self.keeper.accept_handover(records.claims);
+            self.ledger.accept_handover(records.kept, records.floor);
         }
         let receipt = Frame::TakenOver(TakenOver { accepted });
         vec![Action::Send(agent.clone(), receipt)]
--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -57,7 +57,11 @@
 }
 
 impl State {
-    pub(crate) fn new(me: Process, slots: Setting, limit: cassiarock_claim::Limit) -> Self {
+    pub(crate) fn new(
+        me: Process,
+        slots: Setting,
+        limit: cassiarock_claim::RetentionLimit,
+    ) -> Self {
         Self {
             ledger: Ledger::new(me.clone(), limit),
             keeper: Keeper::new(me.clone(), limit),
@@ -180,7 +184,7 @@
     /// Takes new work again. The entries learn it from the membership.
     pub(crate) const fn stay(&mut self) {
         self.leaving = false;
-        self.ledger.stay();
+        self.ledger.cancel_leave();
     }
 
     /// How many tasks wait and how many run.
--- a/crates/cassiarock-claim/examples/costs.rs
+++ b/crates/cassiarock-claim/examples/costs.rs
@@ -5,11 +5,11 @@
 //! ```
 
 use cassiarock_claim::keeper::Keeper;
-use cassiarock_claim::ledger::{Ledger, Verdict};
-use cassiarock_claim::message::{Answer, Ask, Outcome, Purpose, Start};
+use cassiarock_claim::ledger::{Ledger, StartDecision};
+use cassiarock_claim::message::{ClaimReply, ClaimRequest, Outcome, Purpose, Start};
 use cassiarock_claim::owner::{Action, Event, Owner};
-use cassiarock_claim::view::{Settlement, Timing, View};
-use cassiarock_claim::{Ballot, Limit};
+use cassiarock_claim::view::{Timing, View, ViewHistory};
+use cassiarock_claim::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -38,7 +38,7 @@
 }
 
 struct Cluster {
-    views: Settlement,
+    views: ViewHistory,
     agents: BTreeMap<Process, (Ledger, Keeper)>,
     view: View,
 }
@@ -47,9 +47,9 @@
     let named = |n| Process::new(format!("agent-{n}"), 1);
     let view = View::new(1, (0..agents).map(named));
     let timing = Timing::new(LEASE, Duration::ZERO, KEPT);
-    let mut views = Settlement::new(timing, NOW);
+    let mut views = ViewHistory::new(timing, NOW);
     views.adopt(view.clone());
-    let limit = Limit::new(KEPT, usize::MAX);
+    let limit = RetentionLimit::new(KEPT, usize::MAX);
     let mut built = BTreeMap::new();
     for agent in view.members.iter() {
         views.confirm(agent, 1, LEASE, NOW, NOW);
@@ -75,14 +75,14 @@
     while let Some(event) = events.pop() {
         for action in owner.step(event, &cluster.views, NOW) {
             match action {
-                Action::Ask { keeper, ask } => {
+                Action::RequestClaim { keeper, request } => {
                     messages += 2;
                     let Some((_, claims)) = cluster.agents.get_mut(&keeper) else {
                         continue;
                     };
-                    let answer = claims.answer(&ask, &cluster.view, NOW);
-                    let view = ask.view;
-                    events.push(Event::Answer { view, answer });
+                    let reply = claims.answer(&request, &cluster.view, NOW);
+                    let view = request.view;
+                    events.push(Event::ClaimReply { view, reply });
                 }
                 Action::Fence { agent, fence } => {
                     messages += 2;
@@ -124,7 +124,7 @@
         let Some(keeper) = cluster.view.keeper(job).cloned() else {
             continue;
         };
-        lost = 1 + drive(&mut cluster, &mut alone, Event::Lost(keeper));
+        lost = 1 + drive(&mut cluster, &mut alone, Event::AgentUnreachable(keeper));
     }
     let time = spread(times);
     println!(
@@ -164,7 +164,10 @@
     const JOBS: u32 = 20_000;
     let entry = Process::new("entry-1", 1);
     let run = |guarded: bool| {
-        let mut ledger = Ledger::new(Process::new("agent-1", 1), Limit::new(KEPT, usize::MAX));
+        let mut ledger = Ledger::new(
+            Process::new("agent-1", 1),
+            RetentionLimit::new(KEPT, usize::MAX),
+        );
         let began = Instant::now();
         for bits in 0..JOBS {
             let job = Job::with_bits(NOW, u64::from(bits));
@@ -175,7 +178,7 @@
                 } else {
                     Ballot::UNCLAIMED
                 };
-                assert_eq!(ledger.start(&start, NOW), Verdict::Run);
+                assert_eq!(ledger.start(&start, NOW), StartDecision::Run);
                 ledger.begin(job, start.task);
                 let outcome = Outcome::Done(vec![0; ANSWER]);
                 black_box(ledger.end(job, start.task, outcome));
@@ -188,12 +191,15 @@
     println!("an agent's decisions per task (start, begin, end): guarded {guarded}, not {free}");
     let run = || {
         let view = View::new(1, [Process::new("agent-1", 1)]);
-        let mut keeper = Keeper::new(view.members[0].clone(), Limit::new(KEPT, usize::MAX));
+        let mut keeper = Keeper::new(
+            view.members[0].clone(),
+            RetentionLimit::new(KEPT, usize::MAX),
+        );
         let began = Instant::now();
         for bits in 0..JOBS {
             let ask = ask(Job::with_bits(NOW, u64::from(bits)));
             let answer = keeper.answer(&ask, &view, NOW);
-            assert!(matches!(answer, Answer::Granted(_)));
+            assert!(matches!(answer, ClaimReply::Granted(_)));
         }
         began.elapsed() / JOBS
     };
@@ -207,7 +213,10 @@
     // Kept to the end, so that no ledger grows into the memory of the one before.
     let mut kept = Vec::new();
     for tasks in [1, TASKS, 100] {
-        let mut ledger = Ledger::new(Process::new("agent-1", 1), Limit::new(KEPT, usize::MAX));
+        let mut ledger = Ledger::new(
+            Process::new("agent-1", 1),
+            RetentionLimit::new(KEPT, usize::MAX),
+        );
         let before = resident();
         let jobs = JOBS / u64::from(tasks);
         for bits in 0..jobs {
@@ -235,7 +244,7 @@
     const JOBS: u64 = 100_000;
     let me = Process::new("agent-1", 1);
     let view = View::new(1, [me.clone()]);
-    let mut keeper = Keeper::new(me, Limit::new(KEPT, usize::MAX));
+    let mut keeper = Keeper::new(me, RetentionLimit::new(KEPT, usize::MAX));
     let before = resident();
     for bits in 0..JOBS {
         keeper.answer(&ask(Job::with_bits(NOW, bits)), &view, NOW);
@@ -246,13 +255,13 @@
     keeper
 }
 
-fn ask(job: Job) -> Ask {
-    Ask {
+fn ask(job: Job) -> ClaimRequest {
+    ClaimRequest {
         job,
         digest: 9,
         purpose: Purpose::Claim,
         view: 1,
-        native: true,
+        sole_keeper: true,
         ballot: Ballot::new(Ballot::FRESH, Process::new("entry-1", 1)),
     }
 }
--- a/crates/cassiarock-claim/src/ledger/book.rs
+++ b/crates/cassiarock-claim/src/ledger/book.rs
@@ -5,13 +5,13 @@
 use crate::guard;
 use crate::limit::Floor;
 use crate::message::{Outcome, Reject, Start};
-use crate::{Ballot, Limit};
+use crate::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeMap;
 
 /// What the agent does with a start message.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum StartDecision {
     /// Queue the task and call [`Ledger::begin`] just before it is handed to the worker.
     Run,
     /// The task is here already; its outcome will be sent to this attempt too.
@@ -25,13 +25,13 @@
 /// The start ledger of one agent.
 ///
 /// ```
-/// use cassiarock_claim::ledger::{Ledger, Verdict};
+/// use cassiarock_claim::ledger::{Ledger, StartDecision};
 /// use cassiarock_claim::message::{Outcome, Start};
-/// use cassiarock_claim::{Ballot, Limit};
+/// use cassiarock_claim::{Ballot, RetentionLimit};
 /// use cassiarock_id::{Job, Process, Task, Wall};
 /// use std::time::Duration;
 ///
-/// let limit = Limit::new(Duration::from_secs(600), 1 << 20);
+/// let limit = RetentionLimit::new(Duration::from_secs(600), 1 << 20);
 /// let mut ledger = Ledger::new(Process::new("agent-1", 1), limit);
 /// let now = Wall::from_millis(1_000_000);
 /// let start = Start {
@@ -44,18 +44,18 @@
 ///     placement: 1,
 ///     start_by: now.plus(Duration::from_secs(1)),
 /// };
-/// assert_eq!(ledger.start(&start, now), Verdict::Run);
-/// assert_eq!(ledger.start(&start, now), Verdict::Attached);
+/// assert_eq!(ledger.start(&start, now), StartDecision::Run);
+/// assert_eq!(ledger.start(&start, now), StartDecision::Attached);
 /// assert!(ledger.begin(start.job, start.task));
 /// let done = Outcome::Done(b"ok".to_vec());
 /// let told = ledger.end(start.job, start.task, done.clone());
 /// assert_eq!(told, [start.ballot.clone()]);
-/// assert_eq!(ledger.start(&start, now), Verdict::Ended(done));
+/// assert_eq!(ledger.start(&start, now), StartDecision::Ended(done));
 /// ```
 #[derive(Debug)]
 pub struct Ledger {
     pub(super) me: Process,
-    limit: Limit,
+    limit: RetentionLimit,
     /// The latest membership version, and the one at which this agent joined.
     pub(super) view: u64,
     joined: Option<u64>,
@@ -77,7 +77,7 @@
 impl Ledger {
     /// The empty ledger of the agent `me`.
     #[must_use]
-    pub const fn new(me: Process, limit: Limit) -> Self {
+    pub const fn new(me: Process, limit: RetentionLimit) -> Self {
         Self {
             me,
             limit,
@@ -106,43 +106,43 @@
     }
 
     /// Takes [`Ledger::leave`] back, unless all was handed over already.
-    pub const fn stay(&mut self) {
+    pub const fn cancel_leave(&mut self) {
         self.leaving = self.handed;
     }
 
     /// Decides on a start message.
-    pub fn start(&mut self, start: &Start, now: Wall) -> Verdict {
+    pub fn start(&mut self, start: &Start, now: Wall) -> StartDecision {
         self.latest = self.latest.max(now);
         // Before the checks, as the job itself may be forgotten by it.
-        if self.bytes >= self.limit.bytes {
+        if self.bytes >= self.limit.max_bytes {
             self.evict(now);
         }
         let known = self.jobs.get(&start.job);
         // Whoever uses an id again for other tasks must not see the first one's answers.
         if known.is_some_and(|record| record.digest != start.digest) {
-            return Verdict::Rejected(Reject::Mismatch);
+            return StartDecision::Rejected(Reject::Mismatch);
         }
         if let Some(verdict) = self.known(start) {
             return verdict;
         }
         if let Err(reject) = self.check(start) {
-            return Verdict::Rejected(reject);
+            return StartDecision::Rejected(reject);
         }
         if start.ballot.round == Ballot::UNCLAIMED {
-            return Verdict::Run;
+            return StartDecision::Run;
         }
-        if self.bytes >= self.limit.bytes {
+        if self.bytes >= self.limit.max_bytes {
             self.put(start, Stage::Void);
-            return Verdict::Rejected(Reject::Full);
+            return StartDecision::Rejected(Reject::Full);
         }
         self.put(start, Stage::Waiting);
-        Verdict::Run
+        StartDecision::Run
     }
 
     /// Takes back an accepted start for which the agent has no room; the agent answers
     /// `Reject::Full`. The rejected placement stays rejected, because a second copy of
     /// the message may still be on its way while the task is placed elsewhere.
-    pub fn refuse(&mut self, start: &Start) {
+    pub fn withdraw_start(&mut self, start: &Start) {
         let slot = self.slot(start.job, start.task);
         if let Some(slot) = slot.filter(|slot| matches!(slot.stage, Stage::Waiting)) {
             slot.stage = Stage::Void;
@@ -162,10 +162,10 @@
 
     /// Takes back [`Ledger::begin`] for a task that is proved not to have reached the
     /// worker: no connection came about. Its placement stays rejected, as by
-    /// [`Ledger::refuse`], and the task may be placed again. Returns the attempts to be
+    /// [`Ledger::withdraw_start`], and the task may be placed again. Returns the attempts to be
     /// told, each with the placement that the reject is to carry: 0 for those that
     /// attached to the task after another one had placed it.
-    pub fn revert(&mut self, job: Job, task: Task) -> Vec<(Ballot, u32)> {
+    pub fn revert_begin(&mut self, job: Job, task: Task) -> Vec<(Ballot, u32)> {
         let slot = self.slot(job, task);
         let Some(slot) = slot.filter(|slot| matches!(slot.stage, Stage::Running)) else {
             return Vec::new();
@@ -193,9 +193,9 @@
     /// none with a task that waits or runs.
     pub fn evict(&mut self, now: Wall) {
         self.latest = self.latest.max(now);
-        let oldest = self.latest.minus(self.limit.kept);
+        let oldest = self.latest.minus(self.limit.max_age);
         self.floor.raise(oldest);
-        let mut excess = self.bytes.saturating_sub(self.limit.bytes / 10 * 9);
+        let mut excess = self.bytes.saturating_sub(self.limit.max_bytes / 10 * 9);
         let mut gone = Vec::new();
         for (job, record) in &self.jobs {
             if excess == 0 && job.issued() > oldest {
@@ -224,19 +224,19 @@
         self.bytes
     }
 
-    fn known(&mut self, start: &Start) -> Option<Verdict> {
+    fn known(&mut self, start: &Start) -> Option<StartDecision> {
         let slot = self.slot(start.job, start.task)?;
         match &slot.stage {
             Stage::Waiting | Stage::Void if start.ballot < slot.ballot => None,
             Stage::Waiting | Stage::Running => {
                 slot.attach(&start.ballot);
-                Some(Verdict::Attached)
+                Some(StartDecision::Attached)
             }
-            Stage::Ended(outcome) => Some(Verdict::Ended(outcome.clone())),
+            Stage::Ended(outcome) => Some(StartDecision::Ended(outcome.clone())),
             Stage::Void => {
                 let void = (&slot.ballot, slot.placement);
                 let newer = guard::newer_start((&start.ballot, start.placement), void);
-                (!newer).then_some(Verdict::Rejected(Reject::Cancelled))
+                (!newer).then_some(StartDecision::Rejected(Reject::Cancelled))
             }
         }
     }
@@ -269,7 +269,7 @@
     }
 
     pub(super) fn is_forgotten(&self, job: Job) -> bool {
-        self.floor.covers(job) || job.issued() <= self.latest.minus(self.limit.kept)
+        self.floor.covers(job) || job.issued() <= self.latest.minus(self.limit.max_age)
     }
 
     pub(super) fn slot(&mut self, job: Job, task: Task) -> Option<&mut Slot> {
--- a/crates/cassiarock-claim/src/owner/asking.rs
+++ b/crates/cassiarock-claim/src/owner/asking.rs
@@ -1,26 +1,26 @@
 //! The owner and the keeper: what is asked, and what follows from the answer.
 
-use super::event::{Action, Reason};
+use super::event::{Action, FailureReason};
 use super::machine::{Owner, Phase};
 use crate::Ballot;
-use crate::message::{Answer, Ask, Purpose};
-use crate::view::Settlement;
+use crate::message::{ClaimReply, ClaimRequest, Purpose};
+use crate::view::ViewHistory;
 use cassiarock_id::Wall;
 
 impl Owner {
-    pub(super) fn ask(&mut self, purpose: Purpose, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn ask(&mut self, purpose: Purpose, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let Some(scope) = views.scope(self.job, now) else {
             return self.blind(purpose, views);
         };
         let Some(keeper) = scope.keeper.clone() else {
             return self.blind(purpose, views);
         };
-        let ask = Ask {
+        let request = ClaimRequest {
             job: self.job,
             digest: self.digest,
             purpose,
             view: scope.view,
-            native: scope.native,
+            sole_keeper: scope.sole_keeper,
             ballot: self.ballot.clone(),
         };
         let lost = self.lost.contains(&keeper);
@@ -28,13 +28,13 @@
         if lost {
             return self.unkept(views, now);
         }
-        vec![Action::Ask { keeper, ask }]
+        vec![Action::RequestClaim { keeper, request }]
     }
 
     /// Without a view nothing can be asked; with one, a job without a scope is too old.
-    fn blind(&mut self, purpose: Purpose, views: &Settlement) -> Vec<Action> {
+    fn blind(&mut self, purpose: Purpose, views: &ViewHistory) -> Vec<Action> {
         if views.view().is_some_and(|view| !view.members.is_empty()) {
-            return self.fail(Reason::Forgotten);
+            return self.fail(FailureReason::Forgotten);
         }
         self.phase = Phase::Blind(purpose);
         Vec::new()
@@ -43,8 +43,8 @@
     pub(super) fn answered(
         &mut self,
         view: u64,
-        answer: Answer,
-        views: &Settlement,
+        reply: ClaimReply,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         let Phase::Asking { purpose, scope } = &self.phase else {
@@ -54,33 +54,34 @@
         if scope.view != view {
             return Vec::new();
         }
-        match answer {
-            Answer::Granted(ballot) if ballot == self.ballot => {
+        match reply {
+            ClaimReply::Granted(ballot) if ballot == self.ballot => {
                 self.scope = Some(scope.clone());
                 self.own(views, now)
             }
-            Answer::Gather(ballot) if ballot.same_owner(&self.ballot) => {
+            ClaimReply::Gather(ballot) if ballot.same_owner(&self.ballot) => {
                 self.gather(ballot.round, views, now)
             }
-            Answer::Owned(owner) if !owner.same_owner(&self.ballot) => self.attach(owner),
+            ClaimReply::Owned(owner) if !owner.same_owner(&self.ballot) => self.attach(owner),
             // An owner without the keeper's grant has fenced the agents: no witness is to
             // be had, and only a gather tells what it started.
-            Answer::Closed if matches!(purpose, Purpose::TakeOver { .. }) => {
+            ClaimReply::Closed if matches!(purpose, Purpose::TakeOver { .. }) => {
                 self.unkept(views, now)
             }
-            Answer::Closed => {
+            ClaimReply::Closed => {
                 self.scope = Some(scope.clone());
                 self.close(views, now)
             }
-            Answer::Mismatch => self.mismatch(),
-            Answer::Forgotten => self.fail(Reason::Forgotten),
-            Answer::Granted(_) | Answer::Gather(_) | Answer::Owned(_) | Answer::View(_) => {
-                Vec::new()
-            }
+            ClaimReply::Mismatch => self.mismatch(),
+            ClaimReply::Forgotten => self.fail(FailureReason::Forgotten),
+            ClaimReply::Granted(_)
+            | ClaimReply::Gather(_)
+            | ClaimReply::Owned(_)
+            | ClaimReply::View(_) => Vec::new(),
         }
     }
 
-    pub(super) fn replace(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn replace(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let Phase::Attached(owner) = &self.phase else {
             return Vec::new();
         };
@@ -89,7 +90,7 @@
     }
 
     /// The keeper is out of reach: gather without it, or with it if it isn't exempt.
-    pub(super) fn unkept(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn unkept(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let Phase::Asking { purpose, .. } = &self.phase else {
             return Vec::new();
         };
--- a/crates/cassiarock-claim/src/owner/gather.rs
+++ b/crates/cassiarock-claim/src/owner/gather.rs
@@ -1,44 +1,44 @@
 //! The gather: every agent that may have run tasks is fenced and reports; and the
 //! closing of a job of which nothing ran.
 
-use super::event::{Action, End, Reason};
+use super::event::{Action, FailureReason, JobOutcome};
 use super::machine::{Owner, Phase};
 use super::task::Stand;
 use crate::Ballot;
 use crate::guard;
-use crate::message::{Fence, Purpose, Reject, Report, State};
-use crate::view::{Scope, Settlement};
+use crate::message::{Fence, FenceReport, Purpose, Reject, TaskState};
+use crate::view::{JobScope, ViewHistory};
 use cassiarock_id::{Process, Task, Wall};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A gather under way.
 #[derive(Debug)]
 pub(super) struct Gather {
-    scope: Scope,
+    scope: JobScope,
     /// The agents that have not reported yet.
     missing: BTreeSet<Process>,
     /// What the others reported.
-    found: BTreeMap<Task, (Process, State)>,
+    found: BTreeMap<Task, (Process, TaskState)>,
 }
 
 impl Owner {
     /// Fences all agents under `round`. The keeper may be missing if it is exempt.
-    pub(super) fn gather(&mut self, round: u32, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn gather(&mut self, round: u32, views: &ViewHistory, now: Wall) -> Vec<Action> {
         let Some(mut scope) = views.scope(self.job, now) else {
-            return self.fail(Reason::Forgotten);
+            return self.fail(FailureReason::Forgotten);
         };
         // Agents fenced by this view reject gathers by the larger ones that went before,
         // so that only an exemption by this view itself counts.
         if views
             .view()
-            .is_none_or(|view| view.exempt(self.job).is_none())
+            .is_none_or(|view| view.exempt_keeper(self.job).is_none())
         {
-            scope.named = None;
+            scope.excluded_keeper = None;
         }
-        let missing = views.reach(self.job, &scope);
-        let gone = |agent: &Process| views.is_ended(agent);
+        let missing = views.gather_targets(self.job, &scope);
+        let gone = |agent: &Process| views.has_ended(agent);
         if missing.is_empty() || missing.iter().any(gone) {
-            return self.fail(Reason::Unprovable);
+            return self.fail(FailureReason::Unprovable);
         }
         // No round is gathered twice: a report to the first gather would count in the second.
         let unused = self.ballot.round.max(Ballot::FRESH).saturating_add(1);
@@ -52,15 +52,15 @@
     }
 
     /// Begins again under a higher round: the tasks' whereabouts are in doubt.
-    pub(super) fn regather(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn regather(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         self.gather(Ballot::FRESH, views, now)
     }
 
     pub(super) fn reported(
         &mut self,
         agent: &Process,
-        report: Report,
-        views: &Settlement,
+        report: FenceReport,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         if report.job != self.job || matches!(self.phase, Phase::Attached(_) | Phase::Idle) {
@@ -70,7 +70,7 @@
         // the witness, it was cancelled after they had run; otherwise it was refused.
         let sealed = report.closed && !report.tasks.is_empty();
         if report.closed && !sealed {
-            return self.finish(End::Refused);
+            return self.finish(JobOutcome::Refused);
         }
         if report.ballot > self.ballot {
             return self.attach(report.ballot);
@@ -80,7 +80,7 @@
         }
         if sealed {
             self.sealed = true;
-            self.stop.get_or_insert(Reason::Cancelled);
+            self.stop.get_or_insert(FailureReason::Cancelled);
         }
         match &self.phase {
             Phase::Sealing { .. } if self.is_sealing_at(agent) => self.progress(views, now),
@@ -97,7 +97,7 @@
         &mut self,
         agent: &Process,
         reject: &Reject,
-        views: &Settlement,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         if self.is_sealing_at(agent) {
@@ -109,7 +109,7 @@
             _ => return Vec::new(),
         };
         match reject {
-            Reject::Forgotten => self.fail(Reason::Forgotten),
+            Reject::Forgotten => self.fail(FailureReason::Forgotten),
             Reject::Mismatch => self.mismatch(),
             Reject::Leaving if witness => {
                 self.barred.insert(agent.clone());
@@ -144,18 +144,23 @@
 
     /// Closes the job at a witness. The keeper's word alone would be lost with it: a
     /// later gather may miss the keeper, but not the witness.
-    pub(super) fn close(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn close(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         if guard::witnessed(false) {
-            return self.finish(End::Refused);
+            return self.finish(JobOutcome::Refused);
         }
         let Some(scope) = &self.scope else {
             return Vec::new();
         };
         let Some(fresh) = views.scope(self.job, now) else {
-            return self.fail(Reason::Forgotten);
+            return self.fail(FailureReason::Forgotten);
         };
-        let able = |agent: &&Process| self.may_use(agent, views) && !self.lost.contains(*agent);
-        let witness = views.reach(self.job, scope).iter().find(able).cloned();
+        let able =
+            |agent: &&Process| self.may_place_at(agent, views) && !self.lost.contains(*agent);
+        let witness = views
+            .gather_targets(self.job, scope)
+            .iter()
+            .find(able)
+            .cloned();
         // After a gather those that came since can be witnesses as well.
         let gathered = self.ballot.round > Ballot::FRESH && scope.view == fresh.view;
         if witness.is_none() && !gathered {
@@ -169,7 +174,7 @@
     }
 
     /// Before a refusal the keeper is closed, if the attempt has not gathered.
-    pub(super) fn refuse(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub(super) fn refuse(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
         if self.ballot.round == Ballot::FRESH {
             return self.ask(Purpose::Refuse, views, now);
         }
@@ -179,8 +184,8 @@
     fn gathered(
         &mut self,
         agent: &Process,
-        report: Report,
-        views: &Settlement,
+        report: FenceReport,
+        views: &ViewHistory,
         now: Wall,
     ) -> Vec<Action> {
         let Phase::Gathering(gather) = &mut self.phase else {
@@ -207,8 +212,8 @@
 impl Gather {
     /// Notes a reported task. A leaving agent's end is reported by two others; an end
     /// goes before a state that is still open.
-    fn note(&mut self, task: Task, agent: &Process, state: State) {
-        let ended = matches!(self.found.get(&task), Some((_, State::Ended(_))));
+    fn note(&mut self, task: Task, agent: &Process, state: TaskState) {
+        let ended = matches!(self.found.get(&task), Some((_, TaskState::Ended(_))));
         if !ended {
             self.found.insert(task, (agent.clone(), state));
         }
@@ -223,9 +228,9 @@
     }
 }
 
-pub(super) fn stand(agent: Process, state: State) -> Stand {
+pub(super) fn stand(agent: Process, state: TaskState) -> Stand {
     match state {
-        State::Running => Stand::Running { agent },
-        State::Ended(outcome) => Stand::Ended(outcome),
+        TaskState::Running => Stand::Running { agent },
+        TaskState::Ended(outcome) => Stand::Ended(outcome),
     }
 }
--- a/crates/cassiarock-claim/src/owner/machine.rs
+++ b/crates/cassiarock-claim/src/owner/machine.rs
@@ -1,12 +1,12 @@
 //! The owner: its phases, placements and the final answer.
 
-use super::event::{Action, End, Event, Reason};
+use super::event::{Action, Event, FailureReason, JobOutcome};
 use super::gather::Gather;
 use super::task::{Stand, Tasks};
 use crate::Ballot;
 use crate::guard;
 use crate::message::{Outcome, Purpose, Start};
-use crate::view::{Scope, Settlement};
+use crate::view::{JobScope, ViewHistory};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
     /// Not submitted yet.
     Idle,
     /// The keeper was asked.
-    Asking { purpose: Purpose, scope: Scope },
+    Asking { purpose: Purpose, scope: JobScope },
     /// There is no view with agents yet.
     Blind(Purpose),
     /// Agents are being fenced.
@@ -37,9 +37,9 @@
 /// where, is the caller's business.
 ///
 /// ```
-/// use cassiarock_claim::message::{Answer, Outcome};
-/// use cassiarock_claim::owner::{Action, End, Event, Owner};
-/// use cassiarock_claim::view::{Settlement, Timing, View};
+/// use cassiarock_claim::message::{ClaimReply, Outcome};
+/// use cassiarock_claim::owner::{Action, JobOutcome, Event, Owner};
+/// use cassiarock_claim::view::{ViewHistory, Timing, View};
 /// use cassiarock_claim::Ballot;
 /// use cassiarock_id::{Job, Process, Task, Wall};
 /// use std::time::Duration;
@@ -48,7 +48,7 @@
 /// let timing = Timing::new(lease, Duration::ZERO, Duration::from_secs(600));
 /// let now = Wall::from_millis(1_000_000);
 /// let agents: Vec<_> = (0..3).map(|n| Process::new(format!("agent-{n}"), 1)).collect();
-/// let mut views = Settlement::new(timing, now);
+/// let mut views = ViewHistory::new(timing, now);
 /// views.adopt(View::new(1, agents.clone()));
 /// for agent in &agents {
 ///     views.confirm(agent, 1, lease, now, now);
@@ -57,15 +57,15 @@
 /// let mine = Ballot::new(Ballot::FRESH, Process::new("entry-1", 1)).with_serial(1);
 /// let mut owner = Owner::new(Job::with_bits(now, 1), 9, 1, mine.clone());
 /// let asked = owner.step(Event::Submitted, &views, now);
-/// assert!(matches!(asked[..], [Action::Ask { .. }]));
-/// let granted = Event::Answer { view: 1, answer: Answer::Granted(mine) };
+/// assert!(matches!(asked[..], [Action::RequestClaim { .. }]));
+/// let granted = Event::ClaimReply { view: 1, reply: ClaimReply::Granted(mine) };
 /// assert_eq!(owner.step(granted, &views, now), [Action::Place]);
 /// let ballot = owner.ballot().clone();
-/// let agent = agents.iter().find(|agent| owner.may_use(agent, &views)).unwrap();
+/// let agent = agents.iter().find(|agent| owner.may_place_at(agent, &views)).unwrap();
 /// assert!(owner.place(Task(0), agent, now, &views).is_some());
 /// let done = Outcome::Done(b"ok".to_vec());
 /// let ended = Event::Ended { ballot, task: Task(0), outcome: done.clone() };
-/// let end = End::Complete(vec![done]);
+/// let end = JobOutcome::Complete(vec![done]);
 /// assert_eq!(owner.step(ended, &views, now), [Action::Finish(end)]);
 /// ```
 #[derive(Debug)]
@@ -76,13 +76,13 @@
     pub(super) ballot: Ballot,
     pub(super) phase: Phase,
     /// What the views said when the attempt was granted or gathered.
-    pub(super) scope: Option<Scope>,
+    pub(super) scope: Option<JobScope>,
     pub(super) tasks: Tasks,
     /// Agents that can't run tasks of this job.
     pub(super) barred: BTreeSet<Process>,
     pub(super) lost: BTreeSet<Process>,
     /// Set once nothing more is to be started.
-    pub(super) stop: Option<Reason>,
+    pub(super) stop: Option<FailureReason>,
     /// Agents at which a task of the job ended.
     pub(super) ran: BTreeSet<Process>,
     /// Whether the job is closed for further starts, after some tasks ran.
@@ -128,7 +128,7 @@
 
     /// The attempt to which this one is attached.
     #[must_use]
-    pub const fn attached(&self) -> Option<&Ballot> {
+    pub const fn attached_to(&self) -> Option<&Ballot> {
         match &self.phase {
             Phase::Attached(owner) => Some(owner),
             _ => None,
@@ -144,11 +144,11 @@
     /// The agent that may run none of the tasks, because it keeps the claim.
     #[must_use]
     pub fn keeper(&self) -> Option<&Process> {
-        self.scope.as_ref()?.named.as_ref()
+        self.scope.as_ref()?.excluded_keeper.as_ref()
     }
 
     /// Takes in an event and returns what is to be done.
-    pub fn step(&mut self, event: Event, views: &Settlement, now: Wall) -> Vec<Action> {
+    pub fn step(&mut self, event: Event, views: &ViewHistory, now: Wall) -> Vec<Action> {
         if self.is_done() {
             return Vec::new();
         }
@@ -156,12 +156,12 @@
             Event::Submitted if self.stop.is_some() => self.ask(Purpose::Refuse, views, now),
             Event::Submitted => self.ask(Purpose::Claim, views, now),
             Event::Cancelled => self.cancel(views, now),
-            Event::Expired => self.fail(Reason::Expired),
+            Event::Expired => self.fail(FailureReason::Expired),
             Event::Retry => self.repeat(views, now),
-            Event::Viewed => self.viewed(views, now),
-            Event::Answer { view, answer } => self.answered(view, answer, views, now),
+            Event::ViewChanged => self.viewed(views, now),
+            Event::ClaimReply { view, reply } => self.answered(view, reply, views, now),
             Event::Report { agent, report } => self.reported(&agent, report, views, now),
-            Event::Unfenced { agent, reject } => self.unfenced(&agent, &reject, views, now),
+            Event::FenceRejected { agent, reject } => self.unfenced(&agent, &reject, views, now),
             Event::Rejected {
                 ballot,
                 task,
@@ -173,14 +173,14 @@
                 task,
                 outcome,
             } => self.ended(&ballot, task, outcome, views, now),
-            Event::Lost(agent) => self.lost(agent, views, now),
-            Event::Back(agent) => self.back(&agent, views),
+            Event::AgentUnreachable(agent) => self.lost(agent, views, now),
+            Event::AgentReachable(agent) => self.back(&agent, views),
             Event::OwnerLost => self.replace(views, now),
         }
     }
 
     /// The tasks that may be placed now.
-    pub fn startable(&self) -> impl Iterator<Item = Task> {
+    pub fn startable_tasks(&self) -> impl Iterator<Item = Task> {
         let open = matches!(self.phase, Phase::Owning) && self.stop.is_none();
         self.tasks.free().filter(move |_| open)
     }
@@ -190,13 +190,17 @@
     /// the job's birth; under a gather a member since then is enough, because agents
     /// reject rivals that gather by an older view.
     #[must_use]
-    pub fn may_use(&self, agent: &Process, views: &Settlement) -> bool {
+    pub fn may_place_at(&self, agent: &Process, views: &ViewHistory) -> bool {
         let Some(scope) = &self.scope else {
             return false;
         };
         let granted = self.ballot.round == Ballot::FRESH;
-        let since = if granted { scope.since } else { scope.view };
-        !guard::is_keeper(scope.named.as_ref() == Some(agent))
+        let since = if granted {
+            scope.oldest_view
+        } else {
+            scope.view
+        };
+        !guard::is_keeper(scope.excluded_keeper.as_ref() == Some(agent))
             && !self.barred.contains(agent)
             && views.is_member_since(agent, since)
     }
@@ -207,11 +211,11 @@
         task: Task,
         agent: &Process,
         start_by: Wall,
-        views: &Settlement,
+        views: &ViewHistory,
     ) -> Option<Start> {
         let open = matches!(self.phase, Phase::Owning) && self.stop.is_none();
         let free = matches!(self.tasks.get(task), Some(Stand::Free));
-        if !open || !free || !self.may_use(agent, views) {
+        if !open || !free || !self.may_place_at(agent, views) {
             return None;
         }
         let scope = self.scope.as_ref()?;
@@ -219,7 +223,7 @@
             job: self.job,
             digest: self.digest,
             ballot: self.ballot.clone(),
-            keeper: scope.named.clone(),
+            keeper: scope.excluded_keeper.clone(),
             view: scope.view,
             task,
             placement: self.tasks.next_placement(task),
@@ -238,8 +242,8 @@
         vec![Action::Attach(owner)]
     }
 
-    fn cancel(&mut self, views: &Settlement, now: Wall) -> Vec<Action> {
-        self.stop.get_or_insert(Reason::Cancelled);
+    fn cancel(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
+        self.stop.get_or_insert(FailureReason::Cancelled);
         match &self.phase {
             Phase::Asking { purpose, .. } if *purpose == Purpose::Claim => {
                 self.ask(Purpose::Refuse, views, now)
@@ -253,7 +257,7 @@
         }
     }
 
-    pub(super) fn finish(&mut self, end: End) -> Vec<Action> {
+    pub(super) fn finish(&mut self, end: JobOutcome) -> Vec<Action> {
         self.phase = Phase::Done;
         vec![Action::Finish(end)]
     }
@@ -261,14 +265,14 @@
     /// Other tasks have the id. Nothing of this submission ran if nothing was placed.
     pub(super) fn mismatch(&mut self) -> Vec<Action> {
         if self.tasks.any_ended() || self.tasks.pending().next().is_some() {
-            return self.fail(Reason::Mismatch);
+            return self.fail(FailureReason::Mismatch);
         }
-        self.finish(End::Mismatch)
+        self.finish(JobOutcome::Mismatch)
     }
 
-    pub(super) fn fail(&mut self, reason: Reason) -> Vec<Action> {
+    pub(super) fn fail(&mut self, reason: FailureReason) -> Vec<Action> {
         let outcomes = self.tasks.outcomes();
-        self.finish(End::Failed { reason, outcomes })
+        self.finish(JobOutcome::Failed { reason, outcomes })
     }
 
     /// The answer once every task has ended.
@@ -276,8 +280,8 @@
         let outcomes = self.tasks.outcomes();
         let whole: Option<Vec<Outcome>> = outcomes.into_iter().collect();
         match whole {
-            Some(outcomes) if !self.tasks.any_lost() => self.finish(End::Complete(outcomes)),
-            _ => self.fail(Reason::Lost),
+            Some(outcomes) if !self.tasks.any_lost() => self.finish(JobOutcome::Complete(outcomes)),
+            _ => self.fail(FailureReason::Lost),
         }
     }
 }
--- a/crates/cassiarock-claim/tests/owner.rs
+++ b/crates/cassiarock-claim/tests/owner.rs
@@ -1,9 +1,11 @@
 //! The owner's decisions, with an agent lost, late or leaving.
 
 use cassiarock_claim::Ballot;
-use cassiarock_claim::message::{Answer, Outcome, Purpose, Reject, Report, Start, State};
-use cassiarock_claim::owner::{Action, End, Event, Owner, Reason};
-use cassiarock_claim::view::{Settlement, Timing, View};
+use cassiarock_claim::message::{
+    ClaimReply, FenceReport, Outcome, Purpose, Reject, Start, TaskState,
+};
+use cassiarock_claim::owner::{Action, Event, FailureReason, JobOutcome, Owner};
+use cassiarock_claim::view::{Timing, View, ViewHistory};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::time::Duration;
 
@@ -33,13 +35,13 @@
 /// An owner of two tasks that was granted its job, with four agents settled.
 struct Bench {
     owner: Owner,
-    views: Settlement,
+    views: ViewHistory,
 }
 
 impl Bench {
     fn new() -> Self {
         let timing = Timing::new(LEASE, Duration::ZERO, Duration::from_secs(600));
-        let mut views = Settlement::new(timing, NOW);
+        let mut views = ViewHistory::new(timing, NOW);
         views.adopt(View::new(1, (0..4).map(agent)));
         for n in 0..4 {
             views.confirm(&agent(n), 1, LEASE, NOW, NOW);
@@ -47,9 +49,9 @@
         let owner = Owner::new(Job::with_bits(NOW, 1), 9, 2, ballot(1));
         let mut bench = Self { owner, views };
         bench.step(Event::Submitted);
-        let granted = bench.step(Event::Answer {
+        let granted = bench.step(Event::ClaimReply {
             view: 1,
-            answer: Answer::Granted(ballot(1)),
+            reply: ClaimReply::Granted(ballot(1)),
         });
         assert_eq!(granted, [Action::Place]);
         bench
@@ -62,7 +64,7 @@
     /// Places a task at the first agent that may run it.
     fn place(&mut self, task: u16) -> (Process, Start) {
         let mut agents = (0..4).map(agent);
-        let agent = agents.find(|agent| self.owner.may_use(agent, &self.views));
+        let agent = agents.find(|agent| self.owner.may_place_at(agent, &self.views));
         let agent = agent.expect("an agent that is not the keeper");
         let start_by = NOW.plus(LEASE);
         let start = self.owner.place(Task(task), &agent, start_by, &self.views);
@@ -85,10 +87,10 @@
 fn a_start_of_unknown_fate_is_repeated_and_not_placed_elsewhere() {
     let mut bench = Bench::new();
     let (agent, start) = bench.place(0);
-    assert_eq!(bench.step(Event::Lost(agent.clone())), []);
-    let open: Vec<_> = bench.owner.startable().collect();
+    assert_eq!(bench.step(Event::AgentUnreachable(agent.clone())), []);
+    let open: Vec<_> = bench.owner.startable_tasks().collect();
     assert_eq!(open, [Task(1)]);
-    let again = bench.step(Event::Back(agent.clone()));
+    let again = bench.step(Event::AgentReachable(agent.clone()));
     assert_eq!(again, [Action::Start { agent, start }]);
 }
 
@@ -101,7 +103,7 @@
     assert_eq!((first.placement, second.placement), (1, 2));
     // A second copy of the first reject says nothing about the second placement.
     assert_eq!(bench.reject(&first, Reject::Full), []);
-    assert!(!bench.owner.startable().any(|task| task == Task(0)));
+    assert!(!bench.owner.startable_tasks().any(|task| task == Task(0)));
 }
 
 #[test]
@@ -111,10 +113,12 @@
     let higher = ballot(2).with_round(2);
     let attached = bench.reject(&start, Reject::Fenced(higher.clone()));
     assert_eq!(attached, [Action::Attach(higher)]);
-    assert!(bench.owner.startable().next().is_none());
+    assert!(bench.owner.startable_tasks().next().is_none());
     let replaced = bench.step(Event::OwnerLost);
     let over = Purpose::TakeOver { over: 2 };
-    assert!(matches!(&replaced[..], [Action::Ask { ask, .. }] if ask.purpose == over));
+    assert!(
+        matches!(&replaced[..], [Action::RequestClaim { request, .. }] if request.purpose == over)
+    );
 }
 
 // An entry answers a job, forgets it, and gets other tasks under the same id. The end of a
@@ -126,7 +130,7 @@
     assert_eq!(bench.step(end(earlier.clone(), 0)), []);
     assert_eq!(bench.step(end(earlier, 1)), []);
     bench.step(end(ballot(1), 0));
-    let whole = Action::Finish(End::Complete(vec![done(), done()]));
+    let whole = Action::Finish(JobOutcome::Complete(vec![done(), done()]));
     assert_eq!(bench.step(end(ballot(1), 1)), [whole]);
 }
 
@@ -134,17 +138,19 @@
 fn a_cancelled_job_is_refused_only_with_a_witness() {
     let mut bench = Bench::new();
     let asked = bench.step(Event::Cancelled);
-    assert!(matches!(&asked[..], [Action::Ask { ask, .. }] if ask.purpose == Purpose::Refuse));
-    let closed = Event::Answer {
+    assert!(
+        matches!(&asked[..], [Action::RequestClaim { request, .. }] if request.purpose == Purpose::Refuse)
+    );
+    let closed = Event::ClaimReply {
         view: 1,
-        answer: Answer::Closed,
+        reply: ClaimReply::Closed,
     };
     let fenced = bench.step(closed);
     let [Action::Fence { agent, fence }] = &fenced[..] else {
         panic!("one witness expected: {fenced:?}");
     };
     assert!(fence.close);
-    let report = Report {
+    let report = FenceReport {
         job: fence.job,
         ballot: fence.ballot.clone(),
         view: 1,
@@ -153,7 +159,7 @@
     };
     let agent = agent.clone();
     let refused = bench.step(Event::Report { agent, report });
-    assert_eq!(refused, [Action::Finish(End::Refused)]);
+    assert_eq!(refused, [Action::Finish(JobOutcome::Refused)]);
 }
 
 // A job is cancelled when one of its tasks has run, and its entry dies after it has told
@@ -178,15 +184,15 @@
         panic!("one witness expected: {closing:?}");
     };
     assert_eq!((witness, fence.close), (&ran, true));
-    let report = Report {
+    let report = FenceReport {
         job: fence.job,
         ballot: fence.ballot.clone(),
         view: 1,
         closed: true,
-        tasks: vec![(Task(0), State::Ended(done()))],
+        tasks: vec![(Task(0), TaskState::Ended(done()))],
     };
-    let failed = End::Failed {
-        reason: Reason::Cancelled,
+    let failed = JobOutcome::Failed {
+        reason: FailureReason::Cancelled,
         outcomes: vec![Some(done()), None],
     };
     let answered = bench.step(Event::Report { agent: ran, report });
@@ -203,11 +209,11 @@
     let again = Process::new(gone.name.clone(), 2);
     let rest = (0..4).map(agent).filter(|agent| *agent != gone);
     bench.views.adopt(View::new(2, rest.chain([again])));
-    let failed = bench.step(Event::Viewed);
-    let [Action::Finish(End::Failed { reason, .. })] = &failed[..] else {
+    let failed = bench.step(Event::ViewChanged);
+    let [Action::Finish(JobOutcome::Failed { reason, .. })] = &failed[..] else {
         panic!("a failure expected: {failed:?}");
     };
-    assert_eq!(*reason, Reason::Lost);
+    assert_eq!(*reason, FailureReason::Lost);
 }
 
 // Half of all jobs are cancelled and the processors are busy for seconds. Each answer to a
--- a/crates/cassiarock-claim/tests/sim/agent.rs
+++ b/crates/cassiarock-claim/tests/sim/agent.rs
@@ -2,10 +2,10 @@
 
 use super::{Body, KEPT, Message, Version, clock};
 use crate::claim::keeper::Keeper;
-use crate::claim::ledger::{Cancelled, Ledger, Verdict};
+use crate::claim::ledger::{CancelDecision, Ledger, StartDecision};
 use crate::claim::message::{Cancel, Fence, Outcome, Reject, Start};
 use crate::claim::view::View;
-use crate::claim::{Ballot, Limit};
+use crate::claim::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -43,10 +43,10 @@
         skew: u64,
         bytes: usize,
     ) -> Self {
-        let mut ledger = Ledger::new(me.clone(), Limit::new(KEPT, bytes));
+        let mut ledger = Ledger::new(me.clone(), RetentionLimit::new(KEPT, bytes));
         ledger.set_view(log[held].view.version);
         Self {
-            keeper: Keeper::new(me.clone(), Limit::new(KEPT, bytes)),
+            keeper: Keeper::new(me.clone(), RetentionLimit::new(KEPT, bytes)),
             me,
             ledger,
             held,
@@ -93,10 +93,10 @@
                 None => return Vec::new(),
             },
             Body::HandOver(claims, kept, floor) => {
-                let accepted = self.ledger.may_take(&from);
+                let accepted = self.ledger.accepts_handover_from(&from);
                 if accepted {
-                    self.keeper.take(claims);
-                    self.ledger.take(kept, floor);
+                    self.keeper.accept_handover(claims);
+                    self.ledger.accept_handover(kept, floor);
                     self.handing = None;
                 }
                 Body::TakenOver(accepted)
@@ -139,7 +139,7 @@
 
     pub fn revert(&mut self, at: usize) -> (Job, Task, Vec<Message>) {
         let (job, task, _) = self.running.remove(at);
-        let told = self.ledger.revert(job, task).into_iter();
+        let told = self.ledger.revert_begin(job, task).into_iter();
         let full = Reject::Full;
         let rejected = |(ballot, placement): (Ballot, u32)| {
             let entry = ballot.entry.clone();
@@ -185,22 +185,22 @@
             Body::Rejected(start.job, ballot, start.task, start.placement, reject)
         };
         match self.ledger.start(start, now) {
-            Verdict::Run if self.queue.len() >= QUEUE => {
-                self.ledger.refuse(start);
+            StartDecision::Run if self.queue.len() >= QUEUE => {
+                self.ledger.withdraw_start(start);
                 Some(rejected(Reject::Full))
             }
-            Verdict::Run => {
+            StartDecision::Run => {
                 self.queue.push((start.job, start.task, start.digest));
                 None
             }
-            Verdict::Attached => None,
-            Verdict::Ended(outcome) => Some(Body::Ended(
+            StartDecision::Attached => None,
+            StartDecision::Ended(outcome) => Some(Body::Ended(
                 start.job,
                 start.ballot.clone(),
                 start.task,
                 outcome,
             )),
-            Verdict::Rejected(reject) => Some(rejected(reject)),
+            StartDecision::Rejected(reject) => Some(rejected(reject)),
         }
     }
 
@@ -211,16 +211,16 @@
             Some(Body::Rejected(job, ballot, task, cancel.placement, reject))
         };
         match self.ledger.cancel(cancel) {
-            Cancelled::Never => {
+            CancelDecision::Never => {
                 self.queue
                     .retain(|(other, queued, _)| (*other, *queued) != (job, task));
                 rejected(Reject::Cancelled)
             }
-            Cancelled::Running => None,
-            Cancelled::Ended(outcome) => {
+            CancelDecision::Running => None,
+            CancelDecision::Ended(outcome) => {
                 Some(Body::Ended(job, cancel.ballot.clone(), task, outcome))
             }
-            Cancelled::Rejected(reject) => rejected(reject),
+            CancelDecision::Rejected(reject) => rejected(reject),
         }
     }
 
