--- a/crates/cassiarock-policy/examples/model.rs
+++ b/crates/cassiarock-policy/examples/model.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code, reason = "the tests and the example use different parts")]
 mod model;
 
-use cassiarock_policy::{Kind, Weight};
+use cassiarock_policy::{Objective, PlacementPolicy};
 use model::load::{ANDES, ICELAND, Job, Kind as Mix, arrivals};
 use model::reference::{Order, omniscient};
 use model::report::{Spread, goodput, ideals, means, over};
@@ -118,11 +118,11 @@
 }
 
 fn policies(delay: Duration) -> Vec<(&'static str, Shape)> {
-    let kinds = Kind::ALL.iter();
+    let kinds = PlacementPolicy::ALL.iter();
     let mut policies: Vec<_> = kinds
         .map(|kind| (kind.as_str(), Shape::new(*kind, delay)))
         .collect();
-    let response = Shape::new(Kind::Credits, delay).with_weight(Weight::Response);
+    let response = Shape::new(PlacementPolicy::Credits, delay).with_objective(Objective::Response);
     policies.push(("credits, weight response", response));
     policies
 }
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -32,9 +32,9 @@
 /// use cassiarock_policy::dispatch::{Answer, Dispatcher, Setting, Submission};
 /// use cassiarock_policy::place::{Action, Upstream};
 /// use cassiarock_policy::size::Need;
-/// use cassiarock_policy::{Kind, Weight};
+/// use cassiarock_policy::{PlacementPolicy, Objective};
 /// use std::time::Duration;
-/// let setting = Setting::new(Kind::Credits, Weight::Messages);
+/// let setting = Setting::new(PlacementPolicy::Credits, Objective::Messages);
 /// let mut dispatcher = Dispatcher::new(setting, 1);
 /// let upstream = Upstream::new(Process::new("agent-1", 1), 8);
 /// dispatcher.add(upstream, Need::new(64_000, 128 << 10, 0));
--- a/crates/cassiarock-policy/src/dispatch/setting.rs
+++ b/crates/cassiarock-policy/src/dispatch/setting.rs
@@ -1,12 +1,12 @@
 //! The settings of a dispatcher.
 
-use crate::{Kind, Weight, admit, health, place, retry};
+use crate::{Objective, PlacementPolicy, admit, health, place, retry};
 
 /// The settings of all decisions about one pool.
 ///
 /// ```
-/// use cassiarock_policy::{Kind, Weight, dispatch::Setting};
-/// let setting = Setting::new(Kind::Credits, Weight::Response);
+/// use cassiarock_policy::{PlacementPolicy, Objective, dispatch::Setting};
+/// let setting = Setting::new(PlacementPolicy::Credits, Objective::Response);
 /// assert!(setting.place.reach > 0);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
@@ -24,9 +24,9 @@
 impl Setting {
     /// The defaults for a policy and a weight.
     #[must_use]
-    pub fn new(kind: Kind, weight: Weight) -> Self {
+    pub fn new(kind: PlacementPolicy, weight: Objective) -> Self {
         Self {
-            place: place::Setting::new(kind).with_weight(weight),
+            place: place::Setting::new(kind).with_objective(weight),
             admit: admit::Setting::default(),
             health: health::Setting::default(),
             retry: retry::Setting::default(),
--- a/crates/cassiarock-policy/src/lib.rs
+++ b/crates/cassiarock-policy/src/lib.rs
@@ -7,14 +7,14 @@
 pub mod dispatch;
 mod due;
 pub mod health;
-mod kind;
 pub mod note;
+mod objective;
 pub mod place;
+mod policy;
 pub mod retry;
 pub mod size;
 pub mod slot;
-mod weight;
 
 pub use due::Due;
-pub use kind::Kind;
-pub use weight::Weight;
+pub use objective::Objective;
+pub use policy::PlacementPolicy;
--- a/crates/cassiarock-policy/src/weight.rs
+++ b/crates/cassiarock-policy/src/objective.rs
@@ -5,15 +5,15 @@
 /// What the placement spends on finding a slot sooner.
 ///
 /// ```
-/// use cassiarock_policy::{Kind, Weight, place, slot};
-/// let entry = place::Setting::new(Kind::Credits).with_weight(Weight::Response);
-/// let agent = slot::Setting::new(8).with_weight(Weight::Response);
+/// use cassiarock_policy::{PlacementPolicy, Objective, place, slot};
+/// let entry = place::Setting::new(PlacementPolicy::Credits).with_objective(Objective::Response);
+/// let agent = slot::Setting::new(8).with_objective(Objective::Response);
 /// assert!(entry.reach > 0);
 /// assert!(agent.slack < slot::Setting::new(8).slack);
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Weight {
+pub enum Objective {
     /// Few messages: a task that finds no open slot waits at one upstream.
     #[default]
     Messages,
--- a/crates/cassiarock-policy/src/place/demand.rs
+++ b/crates/cassiarock-policy/src/place/demand.rs
@@ -91,7 +91,7 @@
         } else {
             0
         };
-        if pool.setting.kind == crate::Kind::Credits {
+        if pool.setting.kind == crate::PlacementPolicy::Credits {
             want = want.max(share(pool, queue, index));
         }
         if queue.len() == 0 {
@@ -109,7 +109,7 @@
         let mut actions = Vec::new();
         for index in pool.take_credited() {
             let contended = pool.get(index).is_some_and(|view| view.load.contended);
-            if !contended || pool.setting.kind != crate::Kind::Probes {
+            if !contended || pool.setting.kind != crate::PlacementPolicy::Probes {
                 pool.keep_credited(index);
                 continue;
             }
--- a/crates/cassiarock-policy/src/place/placer.rs
+++ b/crates/cassiarock-policy/src/place/placer.rs
@@ -8,7 +8,7 @@
 use super::upstream::Upstream;
 use super::view::FULL_WEIGHT;
 use crate::note::{Ask, Load};
-use crate::{Due, Kind};
+use crate::{Due, PlacementPolicy};
 use cassiarock_id::{Process, Task};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -61,9 +61,9 @@
 /// ```
 /// use cassiarock_id::{Job, Process, Task, Wall};
 /// use cassiarock_policy::place::{self, Action, Placer, Setting, Upstream};
-/// use cassiarock_policy::{Due, Kind};
+/// use cassiarock_policy::{Due, PlacementPolicy};
 /// use std::time::Duration;
-/// let mut placer = Placer::new(Setting::new(Kind::Credits), 1);
+/// let mut placer = Placer::new(Setting::new(PlacementPolicy::Credits), 1);
 /// placer.add(Upstream::new(Process::new("agent-1", 1), 8));
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let due = Due::new(Duration::ZERO, Duration::ZERO);
@@ -318,7 +318,7 @@
     /// Whether a task that is being sent may wait at the upstream.
     fn may_wait(&self, index: u32, job: cassiarock_id::Job) -> bool {
         let setting = &self.pool.setting;
-        if setting.kind != Kind::Credits {
+        if setting.kind != PlacementPolicy::Credits {
             return setting.kind.queues_at_upstream();
         }
         let believed_open = self.pool.get(index).is_some_and(|view| view.open() > 0);
--- a/crates/cassiarock-policy/src/place/pool.rs
+++ b/crates/cassiarock-policy/src/place/pool.rs
@@ -5,7 +5,7 @@
 use super::upstream::Upstream;
 use super::view::View;
 use crate::note::Load;
-use crate::{Due, Kind};
+use crate::{Due, PlacementPolicy};
 use cassiarock_id::Process;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -158,7 +158,7 @@
 
     /// An upstream with room that is not `avoid`.
     pub(super) fn pick(&mut self, avoid: Option<u32>) -> Option<u32> {
-        if self.setting.kind == Kind::Random {
+        if self.setting.kind == PlacementPolicy::Random {
             return self.draw(avoid);
         }
         let first = self.draw(avoid)?;
@@ -169,7 +169,7 @@
     /// An upstream where a task due at `due` may wait ahead of this entry's other tasks:
     /// of a few drawn, the one with the fewest own tasks before it, then the least loaded.
     pub(super) fn pick_ahead(&mut self, due: Due, avoid: Option<u32>) -> Option<u32> {
-        if self.setting.kind != Kind::Credits || self.setting.ahead == 0 {
+        if self.setting.kind != PlacementPolicy::Credits || self.setting.ahead == 0 {
             return None;
         }
         let mut best: Option<((i64, i64), u32)> = None;
--- a/crates/cassiarock-policy/src/place/setting.rs
+++ b/crates/cassiarock-policy/src/place/setting.rs
@@ -1,20 +1,20 @@
 //! The settings of placement.
 
-use crate::{Kind, Weight};
+use crate::{Objective, PlacementPolicy};
 use cassiarock_id::Name;
 use std::time::Duration;
 
 /// How a [`super::Placer`] decides.
 ///
 /// ```
-/// use cassiarock_policy::{Kind, place::Setting};
-/// let setting = Setting::new(Kind::Credits).with_reach(2);
+/// use cassiarock_policy::{PlacementPolicy, place::Setting};
+/// let setting = Setting::new(PlacementPolicy::Credits).with_reach(2);
 /// assert_eq!(setting.reach, 2);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setting {
     /// The policy.
-    pub kind: Kind,
+    pub kind: PlacementPolicy,
     /// At how many upstreams a task asks for a slot that finds none open. More of them
     /// find one sooner; each costs a frame, and perhaps a grant that comes too late.
     pub reach: u16,
@@ -42,12 +42,20 @@
 impl Setting {
     /// The defaults for the policy `kind`.
     #[must_use]
-    pub fn new(kind: Kind) -> Self {
+    pub fn new(kind: PlacementPolicy) -> Self {
         Self {
             kind,
             few: 0,
-            reach: if matches!(kind, Kind::Probes) { 3 } else { 0 },
-            ahead: if matches!(kind, Kind::Credits) { 4 } else { 0 },
+            reach: if matches!(kind, PlacementPolicy::Probes) {
+                3
+            } else {
+                0
+            },
+            ahead: if matches!(kind, PlacementPolicy::Credits) {
+                4
+            } else {
+                0
+            },
             bound: 512,
             stale: Duration::from_millis(100),
             renew: Duration::from_millis(250),
@@ -56,15 +64,15 @@
         }
     }
 
-    /// With the effort that `weight` justifies, for [`Kind::Credits`].
+    /// With the effort that `weight` justifies, for [`PlacementPolicy::Credits`].
     #[must_use]
-    pub const fn with_weight(mut self, weight: Weight) -> Self {
-        if !matches!(self.kind, Kind::Credits) {
+    pub const fn with_objective(mut self, weight: Objective) -> Self {
+        if !matches!(self.kind, PlacementPolicy::Credits) {
             return self;
         }
         (self.few, self.reach) = match weight {
-            Weight::Messages => (0, 0),
-            Weight::Response => (20, 3),
+            Objective::Messages => (0, 0),
+            Objective::Response => (20, 3),
         };
         self
     }
@@ -73,7 +81,8 @@
     /// task may wait ahead, since news then come only from upstreams that have room.
     #[must_use]
     pub(super) const fn tries_stale(&self) -> bool {
-        self.kind.queues_at_upstream() || (matches!(self.kind, Kind::Credits) && self.ahead == 0)
+        self.kind.queues_at_upstream()
+            || (matches!(self.kind, PlacementPolicy::Credits) && self.ahead == 0)
     }
 
     /// With another `reach`.
--- a/crates/cassiarock-policy/src/place/view.rs
+++ b/crates/cassiarock-policy/src/place/view.rs
@@ -2,7 +2,7 @@
 
 use super::upstream::Upstream;
 use crate::note::Load;
-use crate::{Due, Kind};
+use crate::{Due, PlacementPolicy};
 use std::time::Duration;
 
 /// The load of one upstream as last heard, corrected by the entry's own starts since.
@@ -95,16 +95,16 @@
     }
 
     /// How many more tasks fit, by what is known; negative if it is overbooked.
-    pub(super) fn room(&self, kind: Kind, bound: u16) -> i64 {
+    pub(super) fn room(&self, kind: PlacementPolicy, bound: u16) -> i64 {
         if !self.usable() {
             return 0;
         }
         let room = match kind {
-            Kind::Random if self.believed() >= i64::from(bound) => 0,
-            Kind::Random => i64::from(bound) - self.sent_out(),
-            Kind::TwoChoices => i64::from(bound) - self.believed(),
-            Kind::Probes => i64::from(self.credit),
-            Kind::Credits => self.free(),
+            PlacementPolicy::Random if self.believed() >= i64::from(bound) => 0,
+            PlacementPolicy::Random => i64::from(bound) - self.sent_out(),
+            PlacementPolicy::TwoChoices => i64::from(bound) - self.believed(),
+            PlacementPolicy::Probes => i64::from(self.credit),
+            PlacementPolicy::Credits => self.free(),
         };
         room.min(self.cap(bound) - self.sent_out())
     }
--- a/crates/cassiarock-policy/src/kind.rs
+++ b/crates/cassiarock-policy/src/policy.rs
@@ -6,13 +6,13 @@
 /// one; while a change of the setting spreads, an agent serves every kind of start.
 ///
 /// ```
-/// use cassiarock_policy::Kind;
-/// assert_eq!(Kind::default(), Kind::Credits);
-/// assert_eq!(Kind::ALL.len(), 4);
+/// use cassiarock_policy::PlacementPolicy;
+/// assert_eq!(PlacementPolicy::default(), PlacementPolicy::Credits);
+/// assert_eq!(PlacementPolicy::ALL.len(), 4);
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum PlacementPolicy {
     /// Each task goes to an upstream drawn at random and queues there.
     Random,
     /// Each task goes to the less loaded of two random upstreams, by the load last
@@ -27,7 +27,7 @@
     Credits,
 }
 
-impl Kind {
+impl PlacementPolicy {
     /// All kinds, in the order in which reports list them.
     pub const ALL: [Self; 4] = [Self::Random, Self::TwoChoices, Self::Probes, Self::Credits];
 
--- a/crates/cassiarock-policy/src/slot/setting.rs
+++ b/crates/cassiarock-policy/src/slot/setting.rs
@@ -1,6 +1,6 @@
 //! The settings of an upstream's slots.
 
-use crate::Weight;
+use crate::Objective;
 use std::time::Duration;
 
 /// Bounds and waiting times of a [`super::Pool`].
@@ -48,10 +48,10 @@
 
     /// With the effort that `weight` justifies.
     #[must_use]
-    pub const fn with_weight(mut self, weight: Weight) -> Self {
+    pub const fn with_objective(mut self, weight: Objective) -> Self {
         self.slack = match weight {
-            Weight::Messages => Duration::from_secs(100),
-            Weight::Response => Duration::from_secs(5),
+            Objective::Messages => Duration::from_secs(100),
+            Objective::Response => Duration::from_secs(5),
         };
         self
     }
--- a/crates/cassiarock-policy/tests/model/world.rs
+++ b/crates/cassiarock-policy/tests/model/world.rs
@@ -7,7 +7,7 @@
 use cassiarock_policy::note::{Ask, Load};
 use cassiarock_policy::place::{self, Key, Placed};
 use cassiarock_policy::slot::{self, Pool, Verdict};
-use cassiarock_policy::{Kind, Weight};
+use cassiarock_policy::{Objective, PlacementPolicy};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
@@ -24,21 +24,21 @@
 }
 
 impl Shape {
-    pub fn new(kind: Kind, delay: Duration) -> Self {
+    pub fn new(kind: PlacementPolicy, delay: Duration) -> Self {
         Self {
             entries: 3,
             agents: 11,
             slots: 8,
             delay,
-            dispatch: dispatch::Setting::new(kind, Weight::default()),
+            dispatch: dispatch::Setting::new(kind, Objective::default()),
             slot: slot::Setting::new(8),
             seed: 1,
         }
     }
 
-    pub fn with_weight(mut self, weight: Weight) -> Self {
-        self.dispatch.place = self.dispatch.place.with_weight(weight);
-        self.slot = self.slot.with_weight(weight);
+    pub fn with_objective(mut self, weight: Objective) -> Self {
+        self.dispatch.place = self.dispatch.place.with_objective(weight);
+        self.slot = self.slot.with_objective(weight);
         self
     }
 }
--- a/crates/cassiarock-policy/tests/place.rs
+++ b/crates/cassiarock-policy/tests/place.rs
@@ -3,14 +3,14 @@
 use cassiarock_id::{Process, Task, Wall};
 use cassiarock_policy::note::Load;
 use cassiarock_policy::place::{Action, Job, Key, Placed, Placer, Setting, Upstream};
-use cassiarock_policy::{Due, Kind};
+use cassiarock_policy::{Due, PlacementPolicy};
 use std::time::Duration;
 
 fn agent(index: usize) -> Process {
     Process::new(format!("agent-{index}"), 1)
 }
 
-fn placer(kind: Kind, agents: usize) -> Placer {
+fn placer(kind: PlacementPolicy, agents: usize) -> Placer {
     let mut placer = Placer::new(Setting::new(kind), 3);
     for index in 0..agents {
         placer.add(Upstream::new(agent(index), 8));
@@ -37,11 +37,11 @@
 }
 
 #[yare::parameterized(
-    random = { Kind::Random },
-    two_choices = { Kind::TwoChoices },
-    credits = { Kind::Credits },
+    random = { PlacementPolicy::Random },
+    two_choices = { PlacementPolicy::TwoChoices },
+    credits = { PlacementPolicy::Credits },
 )]
-fn tasks_start_at_once_on_an_idle_pool(kind: Kind) {
+fn tasks_start_at_once_on_an_idle_pool(kind: PlacementPolicy) {
     let mut placer = placer(kind, 11);
     placer.admit(job(1, 60));
     assert_eq!(count(&placer.poll(Duration::ZERO)), 60);
@@ -49,7 +49,7 @@
 
 #[test]
 fn no_upstream_gets_more_tasks_than_it_has_free_slots() {
-    let mut placer = placer(Kind::Credits, 11);
+    let mut placer = placer(PlacementPolicy::Credits, 11);
     placer.admit(job(1, 88));
     let actions = placer.poll(Duration::ZERO);
     assert_eq!(started(&actions).len(), 11);
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_leaving_upstream_gets_no_task() {
-    let mut placer = placer(Kind::Credits, 2);
+    let mut placer = placer(PlacementPolicy::Credits, 2);
     placer.leave(&agent(0));
     placer.admit(job(1, 16));
     let starts = started(&placer.poll(Duration::ZERO));
@@ -67,7 +67,7 @@
 
 #[test]
 fn the_keeper_of_a_job_gets_none_of_its_tasks() {
-    let mut placer = placer(Kind::Credits, 2);
+    let mut placer = placer(PlacementPolicy::Credits, 2);
     placer.admit(job(1, 8).with_avoid(agent(1)));
     let starts = started(&placer.poll(Duration::ZERO));
     assert_eq!(starts.len(), 1);
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_rejected_task_starts_elsewhere() {
-    let mut placer = placer(Kind::Credits, 2);
+    let mut placer = placer(PlacementPolicy::Credits, 2);
     placer.admit(job(1, 1));
     let (first, tasks) = started(&placer.poll(Duration::ZERO)).remove(0);
     let full = Load {
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_cancelled_job_sends_no_further_start() {
-    let mut placer = placer(Kind::Credits, 1);
+    let mut placer = placer(PlacementPolicy::Credits, 1);
     placer.admit(job(1, 20));
     // Eight run and four wait ahead at the agent, which has to cancel those.
     assert_eq!(count(&placer.poll(Duration::ZERO)), 12);
@@ -108,7 +108,7 @@
 
 #[test]
 fn the_tasks_of_a_lost_upstream_are_named_once() {
-    let mut placer = placer(Kind::Credits, 1);
+    let mut placer = placer(PlacementPolicy::Credits, 1);
     placer.admit(job(1, 3));
     placer.poll(Duration::ZERO);
     assert_eq!(placer.lose(&agent(0)).len(), 3);
--- a/crates/cassiarock-policy/tests/scenarios.rs
+++ b/crates/cassiarock-policy/tests/scenarios.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code, reason = "the tests and the example use different parts")]
 mod model;
 
-use cassiarock_policy::Kind;
+use cassiarock_policy::PlacementPolicy;
 use model::load::{ANDES, Job, arrivals};
 use model::reference::{Order, omniscient};
 use model::report::{goodput, ideals, means, over};
@@ -16,7 +16,7 @@
     Duration::from_secs(seconds)
 }
 
-fn shape(kind: Kind) -> Shape {
+fn shape(kind: PlacementPolicy) -> Shape {
     Shape::new(kind, Duration::from_micros(500))
 }
 
@@ -51,7 +51,7 @@
 #[test]
 fn a_burst_at_three_entries_ends_within_a_fifth_of_the_omniscient_time() {
     let jobs = burst(12, 60, 200, secs(0));
-    let world = run(shape(Kind::Credits), &jobs);
+    let world = run(shape(PlacementPolicy::Credits), &jobs);
     assert_eq!(share(&world, done), 1.0);
     let last = world.responses().into_iter().flatten().max();
     let best = omniscient(&jobs, SLOTS, Order::Arrival).into_iter().max();
@@ -62,7 +62,7 @@
 #[yare::parameterized(evenly = { 0.0 }, mostly_at_one_entry = { 0.9 }, only_there = { 1.0 })]
 fn load_at_one_entry_uses_the_whole_pool(skew: f64) {
     let jobs = arrivals(&ANDES, 0.7, SLOTS, 3, skew, secs(30), 11);
-    let world = run(shape(Kind::Credits), &jobs);
+    let world = run(shape(PlacementPolicy::Credits), &jobs);
     assert_eq!(share(&world, done), 1.0);
     let (ours, theirs) = means(&world.responses(), &omniscient(&jobs, SLOTS, Order::Due));
     assert!(ours / theirs < 1.15, "{}", ours / theirs);
@@ -81,14 +81,17 @@
             .sum();
         sum / 4.0
     };
-    let (credits, two_choices) = (excess(Kind::Credits), excess(Kind::TwoChoices));
+    let (credits, two_choices) = (
+        excess(PlacementPolicy::Credits),
+        excess(PlacementPolicy::TwoChoices),
+    );
     assert!(credits < 0.5 * two_choices, "{credits} {two_choices}");
 }
 
 #[test]
 fn a_task_costs_less_than_a_tenth_of_a_message_beyond_its_own() {
     let jobs = arrivals(&ANDES, 0.7, SLOTS, 3, 0.0, secs(40), 5);
-    let world = run(shape(Kind::Credits), &jobs);
+    let world = run(shape(PlacementPolicy::Credits), &jobs);
     let wasted = world.count.wasted() as f64 / world.count.done as f64;
     assert!(wasted < 0.1, "{wasted}");
 }
@@ -99,7 +102,7 @@
 fn a_slow_upstream_is_shifted_away_from() {
     let jobs = arrivals(&ANDES, 0.6, SLOTS, 3, 0.0, secs(60), 13);
     let late = |watches: bool| {
-        let mut shape = shape(Kind::Credits);
+        let mut shape = shape(PlacementPolicy::Credits);
         if !watches {
             shape.dispatch.health.withheld = 0.0;
         }
@@ -119,7 +122,7 @@
             .into_iter()
             .map(|job| Job { kind: 1, ..job }),
     );
-    let world = run(shape(Kind::Credits), &jobs);
+    let world = run(shape(PlacementPolicy::Credits), &jobs);
     let short: Vec<_> = world.responses().split_off(2);
     let slowest = short.into_iter().flatten().max();
     // The pool is busy until second 19; a slot frees every 2 s at the latest.
@@ -140,7 +143,7 @@
     }
     jobs.sort_by_key(|job| job.at);
     let large = jobs.iter().position(|job| job.runs.len() == 400);
-    let world = run(shape(Kind::Credits), &jobs);
+    let world = run(shape(PlacementPolicy::Credits), &jobs);
     let end = large.map(|index| world.ends[index]);
     assert!(end.as_ref().is_some_and(done), "{end:?}");
 }
@@ -148,7 +151,7 @@
 #[test]
 fn saturation_keeps_goodput_and_refuses_at_arrival() {
     let jobs = arrivals(&ANDES, 1.3, SLOTS, 3, 0.0, secs(90), 3);
-    let world = run(shape(Kind::Credits), &jobs);
+    let world = run(shape(PlacementPolicy::Credits), &jobs);
     let good = goodput(&jobs, &world.responses(), SLOTS, (secs(20), secs(90)));
     assert!(good > 0.95, "{good}");
     let late = share(&world, |end| *end == End::Failed);
@@ -160,7 +163,8 @@
 #[test]
 fn an_upstream_that_fails_everything_at_once_draws_few_tasks() {
     let jobs = arrivals(&ANDES, 0.7, SLOTS, 3, 0.0, secs(40), 17);
-    let mut world = World::new(shape(Kind::Credits), &jobs).with_fault(secs(5), 7, Fault::Hole);
+    let mut world =
+        World::new(shape(PlacementPolicy::Credits), &jobs).with_fault(secs(5), 7, Fault::Hole);
     world.run(secs(300));
     let failed = world.count.failed as f64 / world.count.done as f64;
     assert!(failed < 0.02, "{failed}");
@@ -172,7 +176,7 @@
 #[test]
 fn a_fault_that_all_share_empties_no_more_than_the_bound() {
     let jobs = arrivals(&ANDES, 0.5, SLOTS, 3, 0.0, secs(60), 19);
-    let mut world = World::new(shape(Kind::Credits), &jobs);
+    let mut world = World::new(shape(PlacementPolicy::Credits), &jobs);
     for agent in 0..11 {
         let begin = secs(5) + Duration::from_millis(agent as u64);
         world = world.with_fault(begin, agent, Fault::Hole);
@@ -199,7 +203,7 @@
 #[test]
 fn a_cancellation_wave_frees_the_slots_and_costs_less_than_the_work() {
     let jobs = burst(60, 100, 300, secs(1));
-    let mut world = World::new(shape(Kind::Credits), &jobs);
+    let mut world = World::new(shape(PlacementPolicy::Credits), &jobs);
     for job in 0..30 {
         let at = secs(4) + Duration::from_millis(10 * job as u64);
         world = world.with_cancel(at, 2 * job);
@@ -219,7 +223,7 @@
 fn the_backlog_of_an_outage_drains_by_itself() {
     let mut jobs = arrivals(&ANDES, 0.8, SLOTS, 3, 0.0, secs(60), 23);
     jobs.iter_mut().for_each(|job| job.within = secs(8));
-    let world = World::new(shape(Kind::Credits), &jobs);
+    let world = World::new(shape(PlacementPolicy::Credits), &jobs);
     let mut world = world.with_outage(secs(15), secs(25));
     world.run(secs(300));
     let late = jobs
@@ -234,7 +238,7 @@
     assert!(world.count.vain < 10, "{:?}", world.count);
     let span = (secs(26), secs(36));
     let good = goodput(&jobs, &world.responses(), SLOTS, span);
-    let undisturbed = run(shape(Kind::Credits), &jobs);
+    let undisturbed = run(shape(PlacementPolicy::Credits), &jobs);
     let usual = goodput(&jobs, &undisturbed.responses(), SLOTS, span);
     assert!(good > 0.95 * usual, "{good} {usual}");
 }
@@ -247,7 +251,7 @@
         job.declared = job.declared.mul_f64(times);
     }
     let mean = |jobs: &[Job]| {
-        let world = run(shape(Kind::Credits), jobs);
+        let world = run(shape(PlacementPolicy::Credits), jobs);
         assert!(share(&world, done) > 0.99);
         over(&world.responses(), &ideals(jobs, SLOTS)).mean
     };
@@ -263,7 +267,7 @@
     jobs.extend(quiet);
     jobs.sort_by_key(|job| job.at);
     jobs.iter_mut().for_each(|job| job.within = secs(15));
-    let world = run(shape(Kind::Credits), &jobs);
+    let world = run(shape(PlacementPolicy::Credits), &jobs);
     let ends = jobs.iter().zip(&world.ends);
     let quiet: Vec<&End> = ends
         .filter(|(job, _)| job.team == 1)
--- a/crates/cassiarock-settings/src/agent.rs
+++ b/crates/cassiarock-settings/src/agent.rs
@@ -4,7 +4,7 @@
 use crate::units::Time;
 use crate::{Capacity, Entry, Error, Format, Health, Key, Ledger, read};
 use cassiarock_id::Name;
-use cassiarock_policy::Weight;
+use cassiarock_policy::Objective;
 use serde::{Deserialize, Serialize};
 use serde_with::serde_as;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -55,7 +55,7 @@
     /// Whether response time or messages count more. Must be the same at all entries and
     /// agents.
     #[serde(default)]
-    pub weight: Weight,
+    pub weight: Objective,
     /// The rhythm of health checks on the worker.
     #[serde(default)]
     pub health: Health,
@@ -115,7 +115,7 @@
             slots: Self::slots(),
             connections: Self::connections(),
             capacity: Capacity::default(),
-            weight: Weight::default(),
+            weight: Objective::default(),
             health: Health::default(),
             ledger: Ledger::default(),
             clock_skew: Entry::clock_skew(),
--- a/crates/cassiarock-settings/src/policy.rs
+++ b/crates/cassiarock-settings/src/policy.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{self, Check};
 use crate::units::Time;
-use cassiarock_policy::{Kind, Weight};
+use cassiarock_policy::{Objective, PlacementPolicy};
 use serde::{Deserialize, Serialize};
 use serde_with::serde_as;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
     /// How the agent of a task is chosen. Must be the same at all entries.
-    pub placement: Kind,
+    pub placement: PlacementPolicy,
     /// Whether response time or messages count more. Must be the same at all entries and
     /// agents.
-    pub weight: Weight,
+    pub weight: Objective,
     /// Tasks of admitted jobs, waiting and running; further jobs are refused.
     pub tasks: usize,
     /// Admitted jobs; each is a caller who waits.
@@ -47,8 +47,8 @@
     /// At 1 KB a task, 50,000 tasks are 50 MB of an entry's 256 MB.
     fn default() -> Self {
         Self {
-            placement: Kind::default(),
-            weight: Weight::default(),
+            placement: PlacementPolicy::default(),
+            weight: Objective::default(),
             tasks: 50_000,
             jobs: 5_000,
             patience: Duration::from_secs(30),
--- a/examples/bench/args.rs
+++ b/examples/bench/args.rs
@@ -3,7 +3,7 @@
 use crate::load::{ANDES, ICELAND, Job, Kind as Mix, arrivals};
 use crate::scenario::Scenario;
 use bpaf::{Parser, construct, long};
-use cassiarock_policy::{Kind, Weight};
+use cassiarock_policy::{Objective, PlacementPolicy};
 use std::path::PathBuf;
 use std::str::FromStr;
 use std::time::Duration;
@@ -59,25 +59,33 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Variant {
     pub name: &'static str,
-    pub kind: Kind,
-    pub weight: Weight,
+    pub kind: PlacementPolicy,
+    pub weight: Objective,
 }
 
 const VARIANTS: [Variant; 5] = [
-    variant("random", Kind::Random, Weight::Messages),
-    variant("two_choices", Kind::TwoChoices, Weight::Messages),
-    variant("probes", Kind::Probes, Weight::Messages),
-    variant("credits", Kind::Credits, Weight::Messages),
-    variant("credits_response", Kind::Credits, Weight::Response),
+    variant("random", PlacementPolicy::Random, Objective::Messages),
+    variant(
+        "two_choices",
+        PlacementPolicy::TwoChoices,
+        Objective::Messages,
+    ),
+    variant("probes", PlacementPolicy::Probes, Objective::Messages),
+    variant("credits", PlacementPolicy::Credits, Objective::Messages),
+    variant(
+        "credits_response",
+        PlacementPolicy::Credits,
+        Objective::Response,
+    ),
 ];
 
-const fn variant(name: &'static str, kind: Kind, weight: Weight) -> Variant {
+const fn variant(name: &'static str, kind: PlacementPolicy, weight: Objective) -> Variant {
     Variant { name, kind, weight }
 }
 
 impl Variant {
     pub fn is_default(&self) -> bool {
-        self.kind == Kind::default() && self.weight == Weight::default()
+        self.kind == PlacementPolicy::default() && self.weight == Objective::default()
     }
 }
 
