--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -10,7 +10,7 @@
 use cassiarock_claim::ledger::Ledger;
 use cassiarock_claim::view::View;
 use cassiarock_id::{Name, Process, Wall};
-use cassiarock_policy::note::Load;
+use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::Key;
 use cassiarock_policy::slot::{Pool, Setting};
 use cassiarock_process::{Behind, Now};
@@ -235,12 +235,12 @@
     }
 
     /// What an entry is told of the slots.
-    fn load_for(&mut self, entry: &Process, now: Now) -> Load {
+    fn load_for(&mut self, entry: &Process, now: Now) -> LoadReport {
         let load = self.pool.report(entry, now.up);
         if self.healthy {
             return load;
         }
-        Load {
+        LoadReport {
             open: 0,
             credit: 0,
             ..load
--- a/crates/cassiarock-agent/src/state/tasks.rs
+++ b/crates/cassiarock-agent/src/state/tasks.rs
@@ -5,7 +5,7 @@
 use cassiarock_claim::ledger::{Cancelled, Verdict};
 use cassiarock_claim::message::{Cancel, Outcome, Reject};
 use cassiarock_id::Process;
-use cassiarock_policy::note::{self, Load};
+use cassiarock_policy::load::{LoadReport, SlotDemand};
 use cassiarock_policy::place::{Key, Placed};
 use cassiarock_policy::slot;
 use cassiarock_process::Now;
@@ -16,7 +16,7 @@
         &mut self,
         entry: &Process,
         runs: Vec<Run>,
-        ask: &note::Ask,
+        ask: &SlotDemand,
         now: Now,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -237,7 +237,7 @@
     ballot: &Ballot,
     outcome: Outcome,
     ran_ms: u64,
-    load: Option<Load>,
+    load: Option<LoadReport>,
 ) -> Action {
     let frame = Frame::Ended(Ended {
         job: work.run.job,
@@ -258,7 +258,7 @@
     }
 }
 
-pub(super) fn rejected(work: &Work, reject: Reject, load: Load) -> Action {
+pub(super) fn rejected(work: &Work, reject: Reject, load: LoadReport) -> Action {
     let frame = Frame::Rejected(Rejected {
         job: work.run.job,
         ballot: work.run.ballot.clone(),
--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -4,7 +4,7 @@
 use super::{Action, State};
 use cassiarock_claim::owner::Event;
 use cassiarock_id::{Job, Process};
-use cassiarock_policy::note::Load;
+use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::Upstream;
 use cassiarock_policy::size::Need;
 use cassiarock_process::Now;
@@ -97,7 +97,7 @@
             view: self.membership(),
             next: self.rules.next,
             adopted_ms: 0,
-            load: Load::default(),
+            load: LoadReport::default(),
             leaving: self.leaving,
         };
         Action::Send(entry.clone(), Frame::Pong(pong))
--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/guarded.rs
@@ -192,7 +192,7 @@
                 let run = self.works.get(&job).map(|work| rerun(work, &start, now));
                 let frame = run.map(|run| Frame::Run {
                     runs: vec![run],
-                    ask: cassiarock_policy::note::Ask::default(),
+                    ask: cassiarock_policy::load::SlotDemand::default(),
                 });
                 let sent = frame.map(|frame| Action::Send(agent, frame));
                 sent.into_iter().collect()
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -4,7 +4,7 @@
 use super::submission::{Answer, End, Reason, Submission};
 use crate::admit::{self, Gate, Offer, Share, Usage};
 use crate::health::{self, Monitor};
-use crate::note::Load;
+use crate::load::LoadReport;
 use crate::place::{Action, Key, Placer, Upstream};
 use crate::retry::{Budget, Proof};
 use crate::size::{Estimate, Fit, Need, Verdict};
@@ -164,7 +164,14 @@
     }
 
     /// A started task ended. `load` came with the frame, if any did.
-    pub fn end(&mut self, agent: &Process, key: &Key, end: End, load: Option<Load>, now: Duration) {
+    pub fn end(
+        &mut self,
+        agent: &Process,
+        key: &Key,
+        end: End,
+        load: Option<LoadReport>,
+        now: Duration,
+    ) {
         self.placer.end(agent, key, load, now);
         let end = match end {
             End::Done(ran) => self.learn(key.job, ran),
@@ -190,7 +197,7 @@
         agent: &Process,
         key: &Key,
         elsewhere: bool,
-        load: Load,
+        load: LoadReport,
         now: Duration,
     ) {
         self.placer.reject(agent, key, elsewhere, load, now);
@@ -198,7 +205,7 @@
 
     /// An agent proved that it has not started the task and will not, and the job's owner
     /// decides whether it is released again.
-    pub fn refuse(&mut self, agent: &Process, key: &Key, load: Load, now: Duration) {
+    pub fn refuse(&mut self, agent: &Process, key: &Key, load: LoadReport, now: Duration) {
         self.placer.end(agent, key, Some(load), now);
     }
 
@@ -214,7 +221,7 @@
     }
 
     /// A grant frame came.
-    pub fn grant(&mut self, agent: &Process, load: Load, now: Duration) {
+    pub fn grant(&mut self, agent: &Process, load: LoadReport, now: Duration) {
         self.placer.grant(agent, load, now);
     }
 
--- a/crates/cassiarock-policy/src/lib.rs
+++ b/crates/cassiarock-policy/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod dispatch;
 mod due;
 pub mod health;
-pub mod note;
+pub mod load;
 mod objective;
 pub mod place;
 mod policy;
--- a/crates/cassiarock-policy/src/note.rs
+++ b/crates/cassiarock-policy/src/load.rs
@@ -6,12 +6,12 @@
 /// From an entry to an agent: on every start frame, or alone as a demand frame.
 ///
 /// ```
-/// use cassiarock_policy::note::Ask;
-/// let ask = Ask::default();
+/// use cassiarock_policy::load::SlotDemand;
+/// let ask = SlotDemand::default();
 /// assert_eq!((ask.waiting, ask.returned), (0, 0));
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct SlotDemand {
     /// How many more slots the entry wants of this upstream beyond the frame's tasks.
     /// Replaces what the entry asked for before.
     pub waiting: u16,
@@ -25,11 +25,11 @@
 /// From an agent to an entry: on every outcome and reject frame, or alone as a grant.
 ///
 /// ```
-/// use cassiarock_policy::note::Load;
-/// assert_eq!(Load::default().credit, 0);
+/// use cassiarock_policy::load::LoadReport;
+/// assert_eq!(LoadReport::default().credit, 0);
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Load {
+pub struct LoadReport {
     /// Slots that nobody uses or holds a credit for.
     pub open: u16,
     /// Tasks that wait in the upstream's queue.
--- a/crates/cassiarock-policy/src/place/demand.rs
+++ b/crates/cassiarock-policy/src/place/demand.rs
@@ -6,7 +6,7 @@
 use super::setting::Setting;
 use super::view::View;
 use crate::Due;
-use crate::note::Ask;
+use crate::load::SlotDemand;
 use std::time::Duration;
 
 /// How many upstreams are drawn in search of one that has not been asked yet.
@@ -64,7 +64,13 @@
     }
 
     /// The demand for a frame that goes to `index` because of it.
-    pub(super) fn ask(&mut self, pool: &mut Pool, queue: &Queue, index: u32, now: Duration) -> Ask {
+    pub(super) fn ask(
+        &mut self,
+        pool: &mut Pool,
+        queue: &Queue,
+        index: u32,
+        now: Duration,
+    ) -> SlotDemand {
         let want = if pool.setting.ahead > 0 {
             1
         } else {
@@ -81,9 +87,9 @@
         queue: &Queue,
         index: u32,
         now: Duration,
-    ) -> Ask {
+    ) -> SlotDemand {
         if pool.setting.kind.queues_at_upstream() {
-            return Ask::default();
+            return SlotDemand::default();
         }
         self.open_round(queue, &pool.setting, now);
         let mut want = if self.has_asked(pool, index) {
@@ -117,9 +123,9 @@
             let Some(view) = pool.get(index) else {
                 continue;
             };
-            let ask = Ask {
+            let ask = SlotDemand {
                 returned: returned.unwrap_or(0),
-                ..Ask::default()
+                ..SlotDemand::default()
             };
             let agent = view.upstream.agent.clone();
             actions.push(Action::Demand { agent, ask });
@@ -154,7 +160,7 @@
         index: u32,
         want: u16,
         now: Duration,
-    ) -> Ask {
+    ) -> SlotDemand {
         let round = self.round;
         let before = pool.change(index, |view| {
             let before = if view.round == round { view.asked } else { 0 };
@@ -164,10 +170,10 @@
         });
         let before = usize::from(before.unwrap_or(0)).min(self.asked);
         self.asked = self.asked - before + usize::from(want);
-        Ask {
+        SlotDemand {
             waiting: want,
             lateness: lateness(queue, now),
-            ..Ask::default()
+            ..SlotDemand::default()
         }
     }
 }
--- a/crates/cassiarock-policy/src/place/placer.rs
+++ b/crates/cassiarock-policy/src/place/placer.rs
@@ -7,7 +7,7 @@
 use super::setting::Setting;
 use super::upstream::Upstream;
 use super::view::FULL_WEIGHT;
-use crate::note::{Ask, Load};
+use crate::load::{LoadReport, SlotDemand};
 use crate::{Due, PlacementPolicy};
 use cassiarock_id::{Process, Task};
 use std::collections::{BTreeMap, HashMap};
@@ -30,14 +30,14 @@
         /// The tasks.
         tasks: Vec<Placed>,
         /// To be carried on the frame.
-        ask: Ask,
+        ask: SlotDemand,
     },
     /// A frame without tasks: a demand for slots, or credits handed back.
     Demand {
         /// To whom.
         agent: Process,
         /// What it says.
-        ask: Ask,
+        ask: SlotDemand,
     },
 }
 
@@ -159,7 +159,7 @@
 
     /// A task ended, or its reject is final. `load` came with the frame, if any did: an
     /// outcome told once more says nothing of the slots.
-    pub fn end(&mut self, agent: &Process, key: &Key, load: Option<Load>, now: Duration) {
+    pub fn end(&mut self, agent: &Process, key: &Key, load: Option<LoadReport>, now: Duration) {
         self.land(key);
         if let Some(load) = load {
             self.grant(agent, load, now);
@@ -188,7 +188,7 @@
         agent: &Process,
         key: &Key,
         elsewhere: bool,
-        load: Load,
+        load: LoadReport,
         now: Duration,
     ) {
         self.grant(agent, load, now);
@@ -205,7 +205,7 @@
     }
 
     /// A grant frame came.
-    pub fn grant(&mut self, agent: &Process, load: Load, now: Duration) {
+    pub fn grant(&mut self, agent: &Process, load: LoadReport, now: Duration) {
         let Some(index) = self.pool.hear(agent, load, now) else {
             return;
         };
--- a/crates/cassiarock-policy/src/place/pool.rs
+++ b/crates/cassiarock-policy/src/place/pool.rs
@@ -4,7 +4,7 @@
 use super::setting::Setting;
 use super::upstream::Upstream;
 use super::view::View;
-use crate::note::Load;
+use crate::load::LoadReport;
 use crate::{Due, PlacementPolicy};
 use cassiarock_id::Process;
 use rand::SeedableRng;
@@ -109,7 +109,7 @@
         Some(result)
     }
 
-    pub(super) fn hear(&mut self, agent: &Process, load: Load, now: Duration) -> Option<u32> {
+    pub(super) fn hear(&mut self, agent: &Process, load: LoadReport, now: Duration) -> Option<u32> {
         let index = self.index(agent)?;
         self.change(index, |view| view.hear(load, now));
         if load.credit > 0 {
--- a/crates/cassiarock-policy/src/place/view.rs
+++ b/crates/cassiarock-policy/src/place/view.rs
@@ -1,7 +1,7 @@
 //! What the entry knows of one upstream.
 
 use super::upstream::Upstream;
-use crate::note::Load;
+use crate::load::LoadReport;
 use crate::{Due, PlacementPolicy};
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     /// Share of its slots to be used, in 1/256; lowered while it looks faulty.
     pub(super) weight: u16,
     pub(super) near: bool,
-    pub(super) load: Load,
+    pub(super) load: LoadReport,
     pub(super) heard_at: Option<Duration>,
     /// When a task was last sent.
     pub(super) sent_at: Option<Duration>,
@@ -40,9 +40,9 @@
             leaving: false,
             weight: FULL_WEIGHT,
             near,
-            load: Load {
+            load: LoadReport {
                 open,
-                ..Load::default()
+                ..LoadReport::default()
             },
             heard_at: None,
             sent_at: None,
@@ -60,7 +60,7 @@
     }
 
     /// Takes in a load report. Reports arrive in order on a connection.
-    pub(super) fn hear(&mut self, load: Load, now: Duration) {
+    pub(super) fn hear(&mut self, load: LoadReport, now: Duration) {
         self.credit = self.credit.saturating_add(load.credit);
         if load.credit > 0 {
             self.credit_at = now;
--- a/crates/cassiarock-policy/src/slot/demand.rs
+++ b/crates/cassiarock-policy/src/slot/demand.rs
@@ -2,7 +2,7 @@
 
 use super::Setting;
 use crate::Due;
-use crate::note::Ask;
+use crate::load::SlotDemand;
 use cassiarock_id::Process;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -51,7 +51,7 @@
             .or_insert_with(|| Demand::new(now))
     }
 
-    pub(super) fn ask(&mut self, entry: &Process, ask: &Ask, now: Duration) {
+    pub(super) fn ask(&mut self, entry: &Process, ask: &SlotDemand, now: Duration) {
         let demand = self.of(entry, now);
         demand.waiting = ask.waiting;
         demand.due = Due::from_lateness(now, ask.lateness);
--- a/crates/cassiarock-policy/src/slot/pool.rs
+++ b/crates/cassiarock-policy/src/slot/pool.rs
@@ -4,7 +4,7 @@
 use super::demand::Register;
 use super::queue::Queue;
 use crate::Due;
-use crate::note::{Ask, Load};
+use crate::load::{LoadReport, SlotDemand};
 use crate::place::{Key, Placed};
 use cassiarock_id::{Job, Process};
 use std::collections::{BTreeMap, HashMap};
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finish {
     /// To be sent on the outcome frame.
-    pub load: Load,
+    pub load: LoadReport,
     /// A queued task that takes the slot, with its entry.
     pub next: Option<(Process, Key)>,
 }
@@ -45,7 +45,7 @@
         /// To whom.
         entry: Process,
         /// What it says; `credit` is at least 1.
-        load: Load,
+        load: LoadReport,
     },
 }
 
@@ -59,7 +59,7 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Process, Task, Wall};
-/// use cassiarock_policy::note::Ask;
+/// use cassiarock_policy::load::SlotDemand;
 /// use cassiarock_policy::place::{Key, Placed};
 /// use cassiarock_policy::slot::{Pool, Setting, Verdict};
 /// use std::time::Duration;
@@ -67,7 +67,7 @@
 /// let key = Key::new(Job::with_bits(Wall::from_millis(1), 1), Task(0));
 /// let mut pool = Pool::new(Setting::new(8));
 /// let now = Duration::ZERO;
-/// assert_eq!(pool.start(&entry, &[Placed::new(key, 0)], &Ask::default(), now), [Verdict::Run]);
+/// assert_eq!(pool.start(&entry, &[Placed::new(key, 0)], &SlotDemand::default(), now), [Verdict::Run]);
 /// assert_eq!(pool.finish(&key, now).load.open, 8);
 /// ```
 #[derive(Debug)]
@@ -99,7 +99,7 @@
         &mut self,
         entry: &Process,
         tasks: &[Placed],
-        ask: &Ask,
+        ask: &SlotDemand,
         now: Duration,
     ) -> Vec<Verdict> {
         self.register.expire(&self.setting, now);
@@ -119,7 +119,7 @@
     }
 
     /// Takes in a demand frame, or a start frame without tasks.
-    pub fn ask(&mut self, entry: &Process, ask: &Ask, now: Duration) {
+    pub fn ask(&mut self, entry: &Process, ask: &SlotDemand, now: Duration) {
         self.register.ask(entry, ask, now);
     }
 
@@ -129,7 +129,7 @@
         let entry = self.running.remove(key);
         let next = self.run_queued();
         let Some(entry) = entry else {
-            let load = Load::default();
+            let load = LoadReport::default();
             return Finish { load, next };
         };
         let credit = self.give_on_outcome(&entry, now);
@@ -138,7 +138,7 @@
     }
 
     /// What a reject frame to `entry` says.
-    pub fn report(&mut self, entry: &Process, now: Duration) -> Load {
+    pub fn report(&mut self, entry: &Process, now: Duration) -> LoadReport {
         self.load(entry, 0, now)
     }
 
@@ -277,8 +277,8 @@
         (now >= since + self.setting.patience).then_some(first)
     }
 
-    fn load(&mut self, entry: &Process, credit: u16, now: Duration) -> Load {
-        Load {
+    fn load(&mut self, entry: &Process, credit: u16, now: Duration) -> LoadReport {
+        LoadReport {
             open: self.open(),
             queued: u16::try_from(self.queue.len()).unwrap_or(u16::MAX),
             own: u16::try_from(self.queue.of(entry)).unwrap_or(u16::MAX),
--- a/crates/cassiarock-policy/tests/cost.rs
+++ b/crates/cassiarock-policy/tests/cost.rs
@@ -1,7 +1,7 @@
 //! What a placement costs as the pool grows.
 
 use cassiarock_id::{Process, Task, Wall};
-use cassiarock_policy::note::Load;
+use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::{Action, Job, Key, Placer, Setting, Upstream};
 use cassiarock_policy::{Due, PlacementPolicy};
 use std::collections::VecDeque;
@@ -61,10 +61,10 @@
         if let Some((agent, key)) = self.running.pop_front() {
             let (seen, running) = &mut self.seen[number(&agent)];
             *running -= 1;
-            let load = Load {
+            let load = LoadReport {
                 open: 8_u16.saturating_sub(*running),
                 seen: *seen,
-                ..Load::default()
+                ..LoadReport::default()
             };
             let now = Duration::from_micros(self.next);
             self.placer.end(&agent, &key, Some(load), now);
--- a/crates/cassiarock-policy/tests/model/entry.rs
+++ b/crates/cassiarock-policy/tests/model/entry.rs
@@ -4,7 +4,7 @@
 use super::world::{Shape, id};
 use cassiarock_id::{Name, Process, Task};
 use cassiarock_policy::dispatch::{Answer, Dispatcher, End, Submission};
-use cassiarock_policy::note::Load;
+use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::{Key, Upstream};
 use cassiarock_policy::retry::Proof;
 use cassiarock_policy::size::Need;
@@ -56,7 +56,7 @@
         &mut self,
         agent: &Process,
         key: &Key,
-        load: Load,
+        load: LoadReport,
         ran: Option<Duration>,
         now: Duration,
     ) -> Option<Duration> {
--- a/crates/cassiarock-policy/tests/model/world.rs
+++ b/crates/cassiarock-policy/tests/model/world.rs
@@ -4,7 +4,7 @@
 use super::load::Job;
 use cassiarock_id::{Process, Wall};
 use cassiarock_policy::dispatch::{self, Answer};
-use cassiarock_policy::note::{Ask, Load};
+use cassiarock_policy::load::{LoadReport, SlotDemand};
 use cassiarock_policy::place::{self, Key, Placed};
 use cassiarock_policy::slot::{self, Pool, Verdict};
 use cassiarock_policy::{Objective, PlacementPolicy};
@@ -91,12 +91,12 @@
 #[derive(Debug)]
 enum Event {
     Arrive(usize),
-    Start(usize, usize, Vec<Placed>, Ask),
-    Demand(usize, usize, Ask),
+    Start(usize, usize, Vec<Placed>, SlotDemand),
+    Demand(usize, usize, SlotDemand),
     Drop(usize, cassiarock_id::Job),
-    Outcome(usize, usize, Key, Load, Option<Duration>),
-    Reject(usize, usize, Key, Load),
-    Grant(usize, usize, Load),
+    Outcome(usize, usize, Key, LoadReport, Option<Duration>),
+    Reject(usize, usize, Key, LoadReport),
+    Grant(usize, usize, LoadReport),
     End(usize, Key, Option<Duration>),
     WakeEntry(usize),
     WakeAgent(usize),
@@ -278,7 +278,7 @@
         self.poll_entry(entry);
     }
 
-    fn start(&mut self, agent: usize, entry: usize, tasks: &[Placed], ask: &Ask) {
+    fn start(&mut self, agent: usize, entry: usize, tasks: &[Placed], ask: &SlotDemand) {
         if self.is_out {
             return;
         }
@@ -298,7 +298,7 @@
         self.poll_agent(agent);
     }
 
-    fn demand(&mut self, agent: usize, entry: usize, ask: &Ask) {
+    fn demand(&mut self, agent: usize, entry: usize, ask: &SlotDemand) {
         let name = self.entries[entry].name.clone();
         self.agents[agent].1.ask(&name, ask, self.now);
         self.poll_agent(agent);
@@ -340,7 +340,7 @@
         entry: usize,
         agent: usize,
         key: &Key,
-        load: Load,
+        load: LoadReport,
         ran: Option<Duration>,
     ) {
         let job = index(key.job);
--- a/crates/cassiarock-policy/tests/place.rs
+++ b/crates/cassiarock-policy/tests/place.rs
@@ -1,7 +1,7 @@
 //! The placement of one entry, event by event.
 
 use cassiarock_id::{Process, Task, Wall};
-use cassiarock_policy::note::Load;
+use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::{Action, Job, Key, Placed, Placer, Setting, Upstream};
 use cassiarock_policy::{Due, PlacementPolicy};
 use std::time::Duration;
@@ -79,9 +79,9 @@
     let mut placer = placer(PlacementPolicy::Credits, 2);
     placer.admit(job(1, 1));
     let (first, tasks) = started(&placer.poll(Duration::ZERO)).remove(0);
-    let full = Load {
+    let full = LoadReport {
         seen: 1,
-        ..Load::default()
+        ..LoadReport::default()
     };
     placer.reject(&first, &tasks[0].key, false, full, Duration::from_millis(1));
     let starts = started(&placer.poll(Duration::from_millis(1)));
@@ -96,10 +96,10 @@
     // Eight run and four wait ahead at the agent, which has to cancel those.
     assert_eq!(count(&placer.poll(Duration::ZERO)), 12);
     assert_eq!(placer.cancel(job(1, 20).id).len(), 8);
-    let load = Load {
+    let load = LoadReport {
         open: 1,
         seen: 8,
-        ..Load::default()
+        ..LoadReport::default()
     };
     let done = Key::new(job(1, 20).id, Task(0));
     placer.end(&agent(0), &done, Some(load), Duration::from_millis(100));
--- a/crates/cassiarock-policy/tests/slot.rs
+++ b/crates/cassiarock-policy/tests/slot.rs
@@ -1,7 +1,7 @@
 //! The slots of one upstream, event by event.
 
 use cassiarock_id::{Job, Process, Task, Wall};
-use cassiarock_policy::note::Ask;
+use cassiarock_policy::load::SlotDemand;
 use cassiarock_policy::place::{Key, Placed};
 use cassiarock_policy::slot::{Action, Pool, Setting, Verdict};
 use std::time::Duration;
@@ -22,18 +22,18 @@
     Duration::from_millis(millis)
 }
 
-fn ask(waiting: u16, lateness: i32) -> Ask {
-    Ask {
+fn ask(waiting: u16, lateness: i32) -> SlotDemand {
+    SlotDemand {
         waiting,
         lateness,
-        ..Ask::default()
+        ..SlotDemand::default()
     }
 }
 
 fn full_pool() -> Pool {
     let mut pool = Pool::new(Setting::new(8));
     let tasks: Vec<Placed> = (0..8).map(placed).collect();
-    let verdicts = pool.start(&entry("a"), &tasks, &Ask::default(), ms(0));
+    let verdicts = pool.start(&entry("a"), &tasks, &SlotDemand::default(), ms(0));
     assert_eq!(verdicts, [Verdict::Run; 8]);
     pool
 }
@@ -41,7 +41,7 @@
 #[test]
 fn a_start_beyond_the_slots_is_rejected_as_full() {
     let mut pool = full_pool();
-    let verdicts = pool.start(&entry("b"), &[placed(9)], &Ask::default(), ms(1));
+    let verdicts = pool.start(&entry("b"), &[placed(9)], &SlotDemand::default(), ms(1));
     assert_eq!(verdicts, [Verdict::Full]);
     assert_eq!(pool.running(), 8);
 }
@@ -52,7 +52,7 @@
     let verdicts = pool.start(
         &entry("b"),
         &[placed(9).with_wait()],
-        &Ask::default(),
+        &SlotDemand::default(),
         ms(1),
     );
     assert_eq!(verdicts, [Verdict::Queued]);
@@ -91,7 +91,7 @@
     assert_eq!(pool.finish(&key(0), ms(2)).load.credit, 1);
     let wake = pool.wake().expect("an expiry is pending");
     pool.poll(wake);
-    let verdicts = pool.start(&entry("b"), &[placed(9)], &Ask::default(), wake);
+    let verdicts = pool.start(&entry("b"), &[placed(9)], &SlotDemand::default(), wake);
     assert_eq!(verdicts, [Verdict::Run]);
 }
 
@@ -101,7 +101,7 @@
     pool.start(
         &entry("b"),
         &[placed(9).with_wait()],
-        &Ask::default(),
+        &SlotDemand::default(),
         ms(1),
     );
     assert_eq!(pool.cancel_job(key(9).job), [key(9)]);
--- a/crates/cassiarock-wire/src/frame.rs
+++ b/crates/cassiarock-wire/src/frame.rs
@@ -7,7 +7,7 @@
 use cassiarock_claim::message::{Ask, Cancel, Fence};
 use cassiarock_id::{Job, Name, Process};
 use cassiarock_policy::admit::Usage;
-use cassiarock_policy::note;
+use cassiarock_policy::load::{LoadReport, SlotDemand};
 use cassiarock_rule::State;
 use cassiarock_transient::Message;
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
         /// The tasks by job.
         runs: Vec<Run>,
         /// The entry's demand for slots.
-        ask: note::Ask,
+        ask: SlotDemand,
     },
     /// Agent to entry: how a task ended.
     Ended(Ended),
@@ -59,9 +59,9 @@
     /// Owner to entry.
     Whole(Whole),
     /// Entry to agent: its demand for slots.
-    Demand(note::Ask),
+    Demand(SlotDemand),
     /// Agent to entry: slots promised to the receiver.
-    Grant(note::Load),
+    Grant(LoadReport),
     /// Agent to entry: it takes no new work.
     Leaving,
     /// Agent to entry: the entries linked to it, with where they take links.
--- a/crates/cassiarock-wire/src/work.rs
+++ b/crates/cassiarock-wire/src/work.rs
@@ -3,7 +3,7 @@
 use cassiarock_claim::Ballot;
 use cassiarock_claim::message::{Answer, Kept, Outcome, Record, Reject, Report, Start};
 use cassiarock_id::{Job, Name, Process, Task, Wall};
-use cassiarock_policy::note::Load;
+use cassiarock_policy::load::LoadReport;
 use serde::{Deserialize, Serialize};
 
 /// An entry's heartbeat.
@@ -29,7 +29,7 @@
     /// How long ago the agent adopted that version, in milliseconds.
     pub adopted_ms: u64,
     /// The agent's load.
-    pub load: Load,
+    pub load: LoadReport,
     /// Whether the agent is leaving and takes no new work.
     pub leaving: bool,
 }
@@ -104,7 +104,7 @@
     /// The time from start to end at the worker, in milliseconds.
     pub ran_ms: u64,
     /// The agent's load, if the outcome goes to the entry that held the slot.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
 /// A start that started nothing.
@@ -121,7 +121,7 @@
     /// Why.
     pub reject: Reject,
     /// The agent's load.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 /// A keeper's answer.
--- a/crates/cassiarock-wire/tests/codec.rs
+++ b/crates/cassiarock-wire/tests/codec.rs
@@ -2,7 +2,7 @@
 
 use cassiarock_claim::Ballot;
 use cassiarock_id::{Job, Process, Task, Wall};
-use cassiarock_policy::note::Ask;
+use cassiarock_policy::load::SlotDemand;
 use cassiarock_wire::{Frame, Item, Run, decode, encode};
 use yare::parameterized;
 
@@ -26,13 +26,13 @@
     };
     Frame::Run {
         runs: vec![run],
-        ask: Ask::default(),
+        ask: SlotDemand::default(),
     }
 }
 
 #[parameterized(
     leaving = { Frame::Leaving },
-    demand = { Frame::Demand(Ask::default()) },
+    demand = { Frame::Demand(SlotDemand::default()) },
     run = { start() },
 )]
 fn a_frame_comes_back_as_it_went(frame: Frame) {
