--- a/crates/cassiarock-agent/src/actor.rs
+++ b/crates/cassiarock-agent/src/actor.rs
@@ -6,7 +6,7 @@
 use cassiarock_id::Process;
 use cassiarock_peer::{Event, Links};
 use cassiarock_platform::{Follower, follow};
-use cassiarock_policy::place::Key;
+use cassiarock_policy::place::TaskKey;
 use cassiarock_process::{Clock, Now, Status};
 use cassiarock_upstream::Worker;
 use cassiarock_wire::{HandOver, Role};
@@ -24,9 +24,9 @@
     /// Something on a link.
     Link(Event),
     /// A task ended at the worker, after so many milliseconds.
-    Ended(Key, Outcome, u64),
+    Ended(TaskKey, Outcome, u64),
     /// The connection to the worker did not come about, so the task did not start.
-    NotStarted(Key),
+    NotStarted(TaskKey),
     /// The worker's health changed.
     Health(bool),
     /// The log's state moved on.
--- a/crates/cassiarock-agent/src/state/action.rs
+++ b/crates/cassiarock-agent/src/state/action.rs
@@ -1,7 +1,7 @@
 //! What the agent's state wants done.
 
 use cassiarock_id::{Process, Task};
-use cassiarock_policy::place::Key;
+use cassiarock_policy::place::TaskKey;
 use cassiarock_rule as rule;
 use cassiarock_wire::{Frame, Item, Run};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
     /// Hand a task to the worker.
     Work(Box<Work>),
     /// Ask the worker to stop a task. What it answers then is still the outcome.
-    Stop(Key),
+    Stop(TaskKey),
     /// Take this state, which a peer knew, if it is newer than the log's.
     Offer(Arc<rule::State>),
 }
@@ -36,7 +36,7 @@
         self.item.task
     }
 
-    pub(crate) const fn key(&self) -> Key {
-        Key::new(self.run.job, self.item.task)
+    pub(crate) const fn key(&self) -> TaskKey {
+        TaskKey::new(self.run.job, self.item.task)
     }
 }
--- a/crates/cassiarock-agent/src/state/claims.rs
+++ b/crates/cassiarock-agent/src/state/claims.rs
@@ -7,7 +7,7 @@
 use cassiarock_claim::message::{Answer, Ask, Fence, Reject, Report};
 use cassiarock_claim::view::View;
 use cassiarock_id::{Job, Name, Process};
-use cassiarock_policy::place::Key;
+use cassiarock_policy::place::TaskKey;
 use cassiarock_process::Now;
 use cassiarock_wire::{Answered, Found, Frame, HandOver, Reported, TakenOver};
 use std::collections::{BTreeSet, HashMap};
@@ -50,7 +50,7 @@
         let mut actions = Vec::new();
         let report = fenced.map(|fenced| {
             for task in &fenced.withdrawn {
-                actions.extend(self.withdraw(Key::new(fence.job, *task), fence, now));
+                actions.extend(self.withdraw(TaskKey::new(fence.job, *task), fence, now));
             }
             fenced.report
         });
@@ -70,7 +70,7 @@
     }
 
     /// Takes a waiting task from the queue and tells the attempt that had placed it.
-    fn withdraw(&mut self, key: Key, fence: &Fence, now: Now) -> Option<Action> {
+    fn withdraw(&mut self, key: TaskKey, fence: &Fence, now: Now) -> Option<Action> {
         self.pool.cancel(&key);
         let work = self.queued.remove(&key)?;
         let reject = Reject::Fenced(fence.ballot.clone());
--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -11,7 +11,7 @@
 use cassiarock_claim::view::View;
 use cassiarock_id::{Name, Process, Wall};
 use cassiarock_policy::load::LoadReport;
-use cassiarock_policy::place::Key;
+use cassiarock_policy::place::TaskKey;
 use cassiarock_policy::slot::{Pool, Setting};
 use cassiarock_process::{Behind, Now};
 use cassiarock_rule as rule;
@@ -37,9 +37,9 @@
     leaving: bool,
     healthy: bool,
     /// Tasks that wait for a slot.
-    queued: HashMap<Key, Work>,
+    queued: HashMap<TaskKey, Work>,
     /// Tasks at the worker.
-    running: HashMap<Key, Work>,
+    running: HashMap<TaskKey, Work>,
     /// The linked entries.
     entries: HashMap<Process, Entry>,
     /// The log's state, as this agent knows it.
--- a/crates/cassiarock-agent/src/state/tasks.rs
+++ b/crates/cassiarock-agent/src/state/tasks.rs
@@ -6,7 +6,7 @@
 use cassiarock_claim::message::{Cancel, Outcome, Reject};
 use cassiarock_id::Process;
 use cassiarock_policy::load::{LoadReport, SlotDemand};
-use cassiarock_policy::place::{Key, Placed};
+use cassiarock_policy::place::{PlacedTask, TaskKey};
 use cassiarock_policy::slot;
 use cassiarock_process::Now;
 use cassiarock_wire::{Ended, Frame, Rejected, Run};
@@ -34,7 +34,7 @@
         }
         let settled = u32::try_from(refused.len()).unwrap_or(u32::MAX);
         self.pool.skip(entry, settled, now.up);
-        let placed: Vec<Placed> = accepted.iter().map(placed).collect();
+        let placed: Vec<PlacedTask> = accepted.iter().map(placed).collect();
         let verdicts = self.pool.start(entry, &placed, ask, now.up);
         for (work, verdict) in accepted.into_iter().zip(verdicts) {
             self.bind(work, verdict, &mut refused, &mut actions);
@@ -108,7 +108,13 @@
     }
 
     /// The worker's end of a task.
-    pub(crate) fn end(&mut self, key: Key, outcome: Outcome, ran_ms: u64, now: Now) -> Vec<Action> {
+    pub(crate) fn end(
+        &mut self,
+        key: TaskKey,
+        outcome: Outcome,
+        ran_ms: u64,
+        now: Now,
+    ) -> Vec<Action> {
         let Some(work) = self.running.remove(&key) else {
             return Vec::new();
         };
@@ -135,7 +141,7 @@
 
     /// The connection to the worker did not come about: the task has not started, and the
     /// entry may place it elsewhere.
-    pub(crate) fn revert(&mut self, key: Key, now: Now) -> Vec<Action> {
+    pub(crate) fn revert(&mut self, key: TaskKey, now: Now) -> Vec<Action> {
         let Some(work) = self.running.remove(&key) else {
             return Vec::new();
         };
@@ -165,7 +171,7 @@
     }
 
     pub(super) fn cancel(&mut self, entry: &Process, cancel: &Cancel, now: Now) -> Vec<Action> {
-        let key = Key::new(cancel.job, cancel.task);
+        let key = TaskKey::new(cancel.job, cancel.task);
         let cancelled = self.ledger.cancel(cancel);
         log::info!(job:% = cancel.job, task:% = cancel.task, entry:% = entry; "cancel: {cancelled:?}");
         let reject = match cancelled {
@@ -226,7 +232,7 @@
         actions
     }
 
-    fn begin_queued(&mut self, key: Key) -> Option<Action> {
+    fn begin_queued(&mut self, key: TaskKey) -> Option<Action> {
         let work = self.queued.remove(&key)?;
         self.begin(work)
     }
@@ -250,8 +256,8 @@
     Action::Send(ballot.entry.clone(), frame)
 }
 
-const fn placed(work: &Work) -> Placed {
-    Placed {
+const fn placed(work: &Work) -> PlacedTask {
+    PlacedTask {
         key: work.key(),
         lateness: work.item.lateness,
         may_wait: work.item.may_wait,
--- a/crates/cassiarock-agent/src/work.rs
+++ b/crates/cassiarock-agent/src/work.rs
@@ -3,7 +3,7 @@
 use crate::actor::Input;
 use crate::state::Work;
 use cassiarock_claim::message::Outcome;
-use cassiarock_policy::place::Key;
+use cassiarock_policy::place::TaskKey;
 use cassiarock_upstream::{self as upstream, Worker};
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
@@ -23,7 +23,7 @@
 }
 
 /// Asks the worker to stop a task.
-pub(crate) fn stop(worker: &Worker, key: Key) {
+pub(crate) fn stop(worker: &Worker, key: TaskKey) {
     let worker = worker.clone();
     tokio::spawn(async move {
         if let Err(error) = worker.stop(key.job, key.task).await {
@@ -43,7 +43,7 @@
     }
 }
 
-fn input(key: Key, outcome: upstream::Outcome, ran: Duration) -> Input {
+fn input(key: TaskKey, outcome: upstream::Outcome, ran: Duration) -> Input {
     let ran_ms = u64::try_from(ran.as_millis()).unwrap_or(u64::MAX);
     match outcome {
         upstream::Outcome::Done(bytes) => Input::Ended(key, Outcome::Done(bytes), ran_ms),
--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/guarded.rs
@@ -6,7 +6,7 @@
 use cassiarock_claim::owner::{self, Event};
 use cassiarock_id::{Job, Process, Task};
 use cassiarock_policy::dispatch::End;
-use cassiarock_policy::place::Key;
+use cassiarock_policy::place::TaskKey;
 use cassiarock_process::Now;
 use cassiarock_wire::{Answered, Ended, Frame, Item, Rejected, Reported, Run};
 use std::time::Duration;
@@ -87,7 +87,7 @@
     }
 
     pub(super) fn ended(&mut self, agent: &Process, ended: Ended, now: Now) -> Vec<Action> {
-        let key = Key::new(ended.job, ended.task);
+        let key = TaskKey::new(ended.job, ended.task);
         let end = end(&ended);
         if let Some(pool) = self.pool_of(agent) {
             pool.end(agent, &key, end, ended.load, now.up);
@@ -128,7 +128,7 @@
         rejected: Rejected,
         now: Now,
     ) -> Vec<Action> {
-        let key = Key::new(rejected.job, rejected.task);
+        let key = TaskKey::new(rejected.job, rejected.task);
         if let Some(pool) = self.pool_of(agent) {
             pool.refuse(agent, &key, rejected.load, now.up);
         }
--- a/crates/cassiarock-entry/src/state/place.rs
+++ b/crates/cassiarock-entry/src/state/place.rs
@@ -4,7 +4,7 @@
 use super::{Action, State};
 use cassiarock_claim::message::Start;
 use cassiarock_id::{Job, Name, Process, Task};
-use cassiarock_policy::place::{self, Key, Placed};
+use cassiarock_policy::place::{self, PlacedTask, TaskKey};
 use cassiarock_process::Now;
 use cassiarock_wire::{Frame, Item, Run};
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
         }
     }
 
-    fn runs(&mut self, pool: &Name, agent: &Process, tasks: &[Placed], now: Now) -> Vec<Run> {
+    fn runs(&mut self, pool: &Name, agent: &Process, tasks: &[PlacedTask], now: Now) -> Vec<Run> {
         let mut runs: BTreeMap<Job, Run> = BTreeMap::new();
         for placed in tasks {
             let key = placed.key;
@@ -61,7 +61,7 @@
         runs.into_values().collect()
     }
 
-    fn start(&mut self, key: Key, agent: &Process, now: Now) -> Option<Start> {
+    fn start(&mut self, key: TaskKey, agent: &Process, now: Now) -> Option<Start> {
         let work = self.works.get_mut(&key.job)?;
         let deadline = now.wall.plus(work.expires.saturating_sub(now.up));
         let start = match &mut work.plan {
@@ -86,7 +86,7 @@
         Some(start)
     }
 
-    fn add(&self, runs: &mut BTreeMap<Job, Run>, start: Start, placed: &Placed, now: Now) {
+    fn add(&self, runs: &mut BTreeMap<Job, Run>, start: Start, placed: &PlacedTask, now: Now) {
         let Some(work) = self.works.get(&start.job) else {
             return;
         };
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -5,7 +5,7 @@
 use crate::admit::{self, Gate, Offer, Share, Usage};
 use crate::health::{self, Monitor};
 use crate::load::LoadReport;
-use crate::place::{Action, Key, Placer, Upstream};
+use crate::place::{Action, Placer, TaskKey, Upstream};
 use crate::retry::{Budget, Proof};
 use crate::size::{Estimate, Fit, Need, Verdict};
 use crate::{Due, place};
@@ -107,7 +107,7 @@
 
     /// The connection to an upstream is gone. Returns the tasks that may have started
     /// there. What was learned of it is kept for its return.
-    pub fn lose(&mut self, agent: &Process) -> Vec<Key> {
+    pub fn lose(&mut self, agent: &Process) -> Vec<TaskKey> {
         self.slots.remove(agent);
         self.count_slots();
         self.placer.lose(agent)
@@ -158,7 +158,7 @@
         // A job taken over from another entry was never offered here.
         let due = self.jobs.get(&job).map(|job| job.due);
         let due = due.unwrap_or_else(|| Due::new(now, Duration::ZERO));
-        let mut job = place::Job::new(job, due, tasks);
+        let mut job = place::ReadyTasks::new(job, due, tasks);
         job.avoid = avoid;
         self.placer.admit(job);
     }
@@ -167,7 +167,7 @@
     pub fn end(
         &mut self,
         agent: &Process,
-        key: &Key,
+        key: &TaskKey,
         end: End,
         load: Option<LoadReport>,
         now: Duration,
@@ -195,7 +195,7 @@
     pub fn reject(
         &mut self,
         agent: &Process,
-        key: &Key,
+        key: &TaskKey,
         elsewhere: bool,
         load: LoadReport,
         now: Duration,
@@ -205,7 +205,7 @@
 
     /// An agent proved that it has not started the task and will not, and the job's owner
     /// decides whether it is released again.
-    pub fn refuse(&mut self, agent: &Process, key: &Key, load: LoadReport, now: Duration) {
+    pub fn refuse(&mut self, agent: &Process, key: &TaskKey, load: LoadReport, now: Duration) {
         self.placer.end(agent, key, Some(load), now);
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// A task of a start action was not sent after all; see [`Placer::bounce`].
-    pub fn bounce(&mut self, agent: &Process, key: &Key, wanted: bool) {
+    pub fn bounce(&mut self, agent: &Process, key: &TaskKey, wanted: bool) {
         self.placer.bounce(agent, key, wanted);
     }
 
--- a/crates/cassiarock-policy/src/place/job.rs
+++ b/crates/cassiarock-policy/src/place/job.rs
@@ -1,29 +1,29 @@
 //! What the placement has to know of a job.
 
 use crate::Due;
-use cassiarock_id::{Process, Task};
+use cassiarock_id::{Job, Process, Task};
 use serde::{Deserialize, Serialize};
 
 /// Names one task of one job.
 ///
 /// ```
 /// use cassiarock_id::{Job, Task, Wall};
-/// use cassiarock_policy::place::Key;
+/// use cassiarock_policy::place::TaskKey;
 /// let job = Job::with_bits(Wall::from_millis(1), 1);
-/// assert!(Key::new(job, Task(0)) < Key::new(job, Task(1)));
+/// assert!(TaskKey::new(job, Task(0)) < TaskKey::new(job, Task(1)));
 /// ```
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Key {
+pub struct TaskKey {
     /// The job.
-    pub job: cassiarock_id::Job,
+    pub job: Job,
     /// Its task.
     pub task: Task,
 }
 
-impl Key {
+impl TaskKey {
     /// The key of `task` of `job`.
     #[must_use]
-    pub const fn new(job: cassiarock_id::Job, task: Task) -> Self {
+    pub const fn new(job: Job, task: Task) -> Self {
         Self { job, task }
     }
 }
@@ -32,14 +32,14 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Task, Wall};
-/// use cassiarock_policy::place::{Key, Placed};
-/// let key = Key::new(Job::with_bits(Wall::from_millis(1), 1), Task(0));
-/// assert_eq!(Placed::new(key, -40).lateness, -40);
+/// use cassiarock_policy::place::{TaskKey, PlacedTask};
+/// let key = TaskKey::new(Job::with_bits(Wall::from_millis(1), 1), Task(0));
+/// assert_eq!(PlacedTask::new(key, -40).lateness, -40);
 /// ```
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Placed {
+pub struct PlacedTask {
     /// The task.
-    pub key: Key,
+    pub key: TaskKey,
     /// How late it is when the frame is written, in milliseconds; negative if it is not
     /// due yet. If it has to wait at the agent, the latest runs first.
     pub lateness: i32,
@@ -47,10 +47,10 @@
     pub may_wait: bool,
 }
 
-impl Placed {
+impl PlacedTask {
     /// The task `key`, `lateness` milliseconds late, to run at once or be rejected.
     #[must_use]
-    pub const fn new(key: Key, lateness: i32) -> Self {
+    pub const fn new(key: TaskKey, lateness: i32) -> Self {
         Self {
             key,
             lateness,
@@ -69,18 +69,18 @@
 /// Tasks of one job that may be started now.
 ///
 /// ```
-/// use cassiarock_id::{Task, Wall};
-/// use cassiarock_policy::{Due, place::Job};
+/// use cassiarock_id::{Job, Task, Wall};
+/// use cassiarock_policy::{Due, place::ReadyTasks};
 /// use std::time::Duration;
-/// let id = cassiarock_id::Job::with_bits(Wall::from_millis(1), 1);
+/// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let due = Due::new(Duration::ZERO, Duration::from_millis(250));
-/// let job = Job::new(id, due, vec![Task(0), Task(1)]);
+/// let job = ReadyTasks::new(id, due, vec![Task(0), Task(1)]);
 /// assert_eq!(job.tasks.len(), 2);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
-pub struct Job {
+pub struct ReadyTasks {
     /// The job's id.
-    pub id: cassiarock_id::Job,
+    pub id: Job,
     /// When its tasks are due, by the arrival and the estimated size.
     pub due: Due,
     /// The tasks, in the order in which they are to start: the longest first.
@@ -89,10 +89,10 @@
     pub avoid: Option<Process>,
 }
 
-impl Job {
+impl ReadyTasks {
     /// The tasks `tasks` of the job `id`.
     #[must_use]
-    pub const fn new(id: cassiarock_id::Job, due: Due, tasks: Vec<Task>) -> Self {
+    pub const fn new(id: Job, due: Due, tasks: Vec<Task>) -> Self {
         Self {
             id,
             due,
--- a/crates/cassiarock-policy/src/place/mod.rs
+++ b/crates/cassiarock-policy/src/place/mod.rs
@@ -10,7 +10,7 @@
 mod upstream;
 mod view;
 
-pub use job::{Job, Key, Placed};
+pub use job::{PlacedTask, ReadyTasks, TaskKey};
 pub use placer::{Action, Placer};
 pub use setting::Setting;
 pub use upstream::Upstream;
--- a/crates/cassiarock-policy/src/place/placer.rs
+++ b/crates/cassiarock-policy/src/place/placer.rs
@@ -1,7 +1,7 @@
 //! The placement of an entry's waiting tasks.
 
 use super::demand::Book;
-use super::job::{Job, Key, Placed};
+use super::job::{PlacedTask, ReadyTasks, TaskKey};
 use super::pool::Pool;
 use super::queue::Queue;
 use super::setting::Setting;
@@ -9,7 +9,7 @@
 use super::view::FULL_WEIGHT;
 use crate::load::{LoadReport, SlotDemand};
 use crate::{Due, PlacementPolicy};
-use cassiarock_id::{Process, Task};
+use cassiarock_id::{Job, Process, Task};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         /// To whom.
         agent: Process,
         /// The tasks.
-        tasks: Vec<Placed>,
+        tasks: Vec<PlacedTask>,
         /// To be carried on the frame.
         ask: SlotDemand,
     },
@@ -67,7 +67,7 @@
 /// placer.add(Upstream::new(Process::new("agent-1", 1), 8));
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let due = Due::new(Duration::ZERO, Duration::ZERO);
-/// placer.admit(place::Job::new(id, due, vec![Task(0)]));
+/// placer.admit(place::ReadyTasks::new(id, due, vec![Task(0)]));
 /// let actions = placer.poll(Duration::ZERO);
 /// assert!(matches!(&actions[..], [Action::Start { tasks, .. }] if tasks.len() == 1));
 /// ```
@@ -75,7 +75,7 @@
 pub struct Placer {
     pool: Pool,
     queue: Queue,
-    flights: HashMap<Key, Flight>,
+    flights: HashMap<TaskKey, Flight>,
     book: Book,
     polled_at: Duration,
 }
@@ -125,12 +125,12 @@
 
     /// An upstream or the connection to it is gone. Returns the tasks that may have
     /// started there; they are no longer the placer's.
-    pub fn lose(&mut self, agent: &Process) -> Vec<Key> {
+    pub fn lose(&mut self, agent: &Process) -> Vec<TaskKey> {
         let Some(index) = self.pool.index(agent) else {
             return Vec::new();
         };
         self.pool.remove(agent);
-        let mut lost: Vec<Key> = self
+        let mut lost: Vec<TaskKey> = self
             .flights
             .iter()
             .filter(|(_, flight)| flight.upstream == index)
@@ -153,13 +153,13 @@
     }
 
     /// Tasks may be started.
-    pub fn admit(&mut self, job: Job) {
+    pub fn admit(&mut self, job: ReadyTasks) {
         self.queue.push(job);
     }
 
     /// A task ended, or its reject is final. `load` came with the frame, if any did: an
     /// outcome told once more says nothing of the slots.
-    pub fn end(&mut self, agent: &Process, key: &Key, load: Option<LoadReport>, now: Duration) {
+    pub fn end(&mut self, agent: &Process, key: &TaskKey, load: Option<LoadReport>, now: Duration) {
         self.land(key);
         if let Some(load) = load {
             self.grant(agent, load, now);
@@ -168,7 +168,7 @@
 
     /// A task of a start action was not sent after all: the claim forbids this agent. It
     /// waits again, if `wanted`, for another one.
-    pub fn bounce(&mut self, agent: &Process, key: &Key, wanted: bool) {
+    pub fn bounce(&mut self, agent: &Process, key: &TaskKey, wanted: bool) {
         let Some(flight) = self.land(key) else {
             return;
         };
@@ -176,7 +176,7 @@
             view.sent = view.sent.wrapping_sub(1);
         });
         if wanted {
-            let job = Job::new(key.job, flight.due, vec![key.task]);
+            let job = ReadyTasks::new(key.job, flight.due, vec![key.task]);
             self.queue.push(job.with_avoid(agent.clone()));
         }
     }
@@ -186,7 +186,7 @@
     pub fn reject(
         &mut self,
         agent: &Process,
-        key: &Key,
+        key: &TaskKey,
         elsewhere: bool,
         load: LoadReport,
         now: Duration,
@@ -195,7 +195,7 @@
         let Some(flight) = self.land(key) else {
             return;
         };
-        let mut job = Job::new(key.job, flight.due, vec![key.task]);
+        let mut job = ReadyTasks::new(key.job, flight.due, vec![key.task]);
         job.avoid = if elsewhere {
             Some(agent.clone())
         } else {
@@ -214,7 +214,7 @@
 
     /// Nobody waits for the job any more. Returns its tasks that were never sent; those
     /// already sent have to be cancelled at their agents.
-    pub fn cancel(&mut self, job: cassiarock_id::Job) -> Vec<Task> {
+    pub fn cancel(&mut self, job: Job) -> Vec<Task> {
         self.queue.remove(job)
     }
 
@@ -269,8 +269,8 @@
         self.flights.len()
     }
 
-    fn place(&mut self, now: Duration) -> BTreeMap<u32, Vec<Placed>> {
-        let mut starts: BTreeMap<u32, Vec<Placed>> = BTreeMap::new();
+    fn place(&mut self, now: Duration) -> BTreeMap<u32, Vec<PlacedTask>> {
+        let mut starts: BTreeMap<u32, Vec<PlacedTask>> = BTreeMap::new();
         while let Some((index, job)) = self.next_match() {
             if let Some(task) = self.send(index, job, now) {
                 starts.entry(index).or_default().push(task);
@@ -279,7 +279,7 @@
         starts
     }
 
-    fn next_match(&mut self) -> Option<(u32, cassiarock_id::Job)> {
+    fn next_match(&mut self) -> Option<(u32, Job)> {
         for (job, due, avoid) in self.queue.front(LOOK_PAST) {
             let avoid = avoid.and_then(|agent| self.pool.index(agent));
             let found = self.pool.pick(avoid);
@@ -298,7 +298,7 @@
         None
     }
 
-    fn send(&mut self, index: u32, job: cassiarock_id::Job, now: Duration) -> Option<Placed> {
+    fn send(&mut self, index: u32, job: Job, now: Duration) -> Option<PlacedTask> {
         let (key, due, avoid) = self.queue.pop(job)?;
         let may_wait = self.may_wait(index, job);
         self.pool.change(index, |view| view.start(due, now));
@@ -308,7 +308,7 @@
             avoid,
         };
         self.flights.insert(key, flight);
-        Some(Placed {
+        Some(PlacedTask {
             key,
             lateness: due.lateness(now),
             may_wait,
@@ -316,7 +316,7 @@
     }
 
     /// Whether a task that is being sent may wait at the upstream.
-    fn may_wait(&self, index: u32, job: cassiarock_id::Job) -> bool {
+    fn may_wait(&self, index: u32, job: Job) -> bool {
         let setting = &self.pool.setting;
         if setting.kind != PlacementPolicy::Credits {
             return setting.kind.queues_at_upstream();
@@ -326,7 +326,7 @@
         setting.ahead > 0 && !(believed_open && is_few && setting.reach > 0)
     }
 
-    fn land(&mut self, key: &Key) -> Option<Flight> {
+    fn land(&mut self, key: &TaskKey) -> Option<Flight> {
         let flight = self.flights.remove(key)?;
         self.pool
             .change(flight.upstream, |view| view.land(flight.due));
@@ -355,7 +355,7 @@
         }
     }
 
-    fn trial(&mut self, index: u32, now: Duration) -> Option<Placed> {
+    fn trial(&mut self, index: u32, now: Duration) -> Option<PlacedTask> {
         let view = self.pool.get(index)?;
         if !view.is_stale(now, self.pool.setting.stale) {
             return None;
--- a/crates/cassiarock-policy/src/place/queue.rs
+++ b/crates/cassiarock-policy/src/place/queue.rs
@@ -1,8 +1,8 @@
 //! The entry's waiting tasks.
 
-use super::job::{Job, Key};
+use super::job::{ReadyTasks, TaskKey};
 use crate::Due;
-use cassiarock_id::{Process, Task};
+use cassiarock_id::{Job, Process, Task};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// The tasks of one job that wait.
@@ -18,8 +18,8 @@
 pub(super) struct Queue {
     next: u64,
     len: usize,
-    order: BTreeMap<(Due, u64), cassiarock_id::Job>,
-    jobs: HashMap<cassiarock_id::Job, Waiting>,
+    order: BTreeMap<(Due, u64), Job>,
+    jobs: HashMap<Job, Waiting>,
 }
 
 impl Queue {
@@ -31,7 +31,7 @@
         self.order.keys().next().map(|(due, _)| *due)
     }
 
-    pub(super) fn push(&mut self, job: Job) {
+    pub(super) fn push(&mut self, job: ReadyTasks) {
         if job.tasks.is_empty() {
             return;
         }
@@ -52,17 +52,14 @@
     }
 
     /// The first `limit` jobs and the upstreams they avoid.
-    pub(super) fn front(
-        &self,
-        limit: usize,
-    ) -> impl Iterator<Item = (cassiarock_id::Job, Due, Option<&Process>)> {
+    pub(super) fn front(&self, limit: usize) -> impl Iterator<Item = (Job, Due, Option<&Process>)> {
         self.order.iter().take(limit).map(|((due, _), id)| {
             let avoid = self.jobs.get(id).and_then(|job| job.avoid.as_ref());
             (*id, *due, avoid)
         })
     }
 
-    pub(super) fn waiting_of(&self, id: cassiarock_id::Job) -> usize {
+    pub(super) fn waiting_of(&self, id: Job) -> usize {
         self.jobs.get(&id).map_or(0, |job| job.tasks.len())
     }
 
@@ -71,7 +68,7 @@
         sizes.filter(|size| *size <= few).sum()
     }
 
-    pub(super) fn pop(&mut self, id: cassiarock_id::Job) -> Option<(Key, Due, Option<Process>)> {
+    pub(super) fn pop(&mut self, id: Job) -> Option<(TaskKey, Due, Option<Process>)> {
         let job = self.jobs.get_mut(&id)?;
         let (due, avoid) = (job.order.0, job.avoid.clone());
         let task = job.tasks.pop_front()?;
@@ -79,10 +76,10 @@
         if job.tasks.is_empty() {
             self.remove(id);
         }
-        Some((Key::new(id, task), due, avoid))
+        Some((TaskKey::new(id, task), due, avoid))
     }
 
-    pub(super) fn remove(&mut self, id: cassiarock_id::Job) -> Vec<Task> {
+    pub(super) fn remove(&mut self, id: Job) -> Vec<Task> {
         let Some(job) = self.jobs.remove(&id) else {
             return Vec::new();
         };
--- a/crates/cassiarock-policy/src/slot/pool.rs
+++ b/crates/cassiarock-policy/src/slot/pool.rs
@@ -5,7 +5,7 @@
 use super::queue::Queue;
 use crate::Due;
 use crate::load::{LoadReport, SlotDemand};
-use crate::place::{Key, Placed};
+use crate::place::{PlacedTask, TaskKey};
 use cassiarock_id::{Job, Process};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -27,7 +27,7 @@
     /// To be sent on the outcome frame.
     pub load: LoadReport,
     /// A queued task that takes the slot, with its entry.
-    pub next: Option<(Process, Key)>,
+    pub next: Option<(Process, TaskKey)>,
 }
 
 /// What the agent has to do.
@@ -38,7 +38,7 @@
         /// Who sent it.
         entry: Process,
         /// The task.
-        key: Key,
+        key: TaskKey,
     },
     /// Send a grant frame.
     Grant {
@@ -60,20 +60,20 @@
 /// ```
 /// use cassiarock_id::{Job, Process, Task, Wall};
 /// use cassiarock_policy::load::SlotDemand;
-/// use cassiarock_policy::place::{Key, Placed};
+/// use cassiarock_policy::place::{TaskKey, PlacedTask};
 /// use cassiarock_policy::slot::{Pool, Setting, Verdict};
 /// use std::time::Duration;
 /// let entry = Process::new("entry-1", 1);
-/// let key = Key::new(Job::with_bits(Wall::from_millis(1), 1), Task(0));
+/// let key = TaskKey::new(Job::with_bits(Wall::from_millis(1), 1), Task(0));
 /// let mut pool = Pool::new(Setting::new(8));
 /// let now = Duration::ZERO;
-/// assert_eq!(pool.start(&entry, &[Placed::new(key, 0)], &SlotDemand::default(), now), [Verdict::Run]);
+/// assert_eq!(pool.start(&entry, &[PlacedTask::new(key, 0)], &SlotDemand::default(), now), [Verdict::Run]);
 /// assert_eq!(pool.finish(&key, now).load.open, 8);
 /// ```
 #[derive(Debug)]
 pub struct Pool {
     setting: Setting,
-    running: HashMap<Key, Process>,
+    running: HashMap<TaskKey, Process>,
     queue: Queue,
     register: Register,
     /// Since when a slot is open although somebody waits.
@@ -98,7 +98,7 @@
     pub fn start(
         &mut self,
         entry: &Process,
-        tasks: &[Placed],
+        tasks: &[PlacedTask],
         ask: &SlotDemand,
         now: Duration,
     ) -> Vec<Verdict> {
@@ -124,7 +124,7 @@
     }
 
     /// A running task ended, however it ended.
-    pub fn finish(&mut self, key: &Key, now: Duration) -> Finish {
+    pub fn finish(&mut self, key: &TaskKey, now: Duration) -> Finish {
         self.register.expire(&self.setting, now);
         let entry = self.running.remove(key);
         let next = self.run_queued();
@@ -143,12 +143,12 @@
     }
 
     /// Drops a task that waits here. False if it does not: it runs, ended or never came.
-    pub fn cancel(&mut self, key: &Key) -> bool {
+    pub fn cancel(&mut self, key: &TaskKey) -> bool {
         self.queue.remove(key)
     }
 
     /// Drops all tasks of a job that wait here, and names them.
-    pub fn cancel_job(&mut self, job: Job) -> Vec<Key> {
+    pub fn cancel_job(&mut self, job: Job) -> Vec<TaskKey> {
         self.queue.remove_job(job)
     }
 
@@ -198,7 +198,7 @@
         self.queue.len()
     }
 
-    fn start_one(&mut self, entry: &Process, task: &Placed, now: Duration) -> Verdict {
+    fn start_one(&mut self, entry: &Process, task: &PlacedTask, now: Duration) -> Verdict {
         let key = task.key;
         let open = self.open();
         let demand = self.register.of(entry, now);
@@ -229,7 +229,7 @@
             .saturating_sub(self.register.credits())
     }
 
-    fn run_queued(&mut self) -> Option<(Process, Key)> {
+    fn run_queued(&mut self) -> Option<(Process, TaskKey)> {
         if self.open() == 0 || self.demand_passes_queue() {
             return None;
         }
--- a/crates/cassiarock-policy/src/slot/queue.rs
+++ b/crates/cassiarock-policy/src/slot/queue.rs
@@ -1,7 +1,7 @@
 //! Starts that wait at the upstream.
 
 use crate::Due;
-use crate::place::Key;
+use crate::place::TaskKey;
 use cassiarock_id::{Job, Process};
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,8 +9,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     next: u64,
-    order: BTreeMap<(Due, u64), (Process, Key)>,
-    place: HashMap<Key, (Due, u64)>,
+    order: BTreeMap<(Due, u64), (Process, TaskKey)>,
+    place: HashMap<TaskKey, (Due, u64)>,
     by_entry: HashMap<Process, usize>,
 }
 
@@ -19,7 +19,7 @@
         self.order.len()
     }
 
-    pub(super) fn push(&mut self, entry: &Process, key: Key, due: Due) {
+    pub(super) fn push(&mut self, entry: &Process, key: TaskKey, due: Due) {
         let at = (due, self.next);
         self.next += 1;
         self.place.insert(key, at);
@@ -36,14 +36,14 @@
         self.by_entry.get(entry).copied().unwrap_or(0)
     }
 
-    pub(super) fn pop(&mut self) -> Option<(Process, Key)> {
+    pub(super) fn pop(&mut self) -> Option<(Process, TaskKey)> {
         let (_, (entry, key)) = self.order.pop_first()?;
         self.place.remove(&key);
         self.count_out(&entry);
         Some((entry, key))
     }
 
-    pub(super) fn remove(&mut self, key: &Key) -> bool {
+    pub(super) fn remove(&mut self, key: &TaskKey) -> bool {
         let Some(at) = self.place.remove(key) else {
             return false;
         };
@@ -63,8 +63,8 @@
         }
     }
 
-    pub(super) fn remove_job(&mut self, job: Job) -> Vec<Key> {
-        let mut keys: Vec<Key> = self
+    pub(super) fn remove_job(&mut self, job: Job) -> Vec<TaskKey> {
+        let mut keys: Vec<TaskKey> = self
             .place
             .keys()
             .filter(|key| key.job == job)
--- a/crates/cassiarock-policy/tests/cost.rs
+++ b/crates/cassiarock-policy/tests/cost.rs
@@ -1,8 +1,8 @@
 //! What a placement costs as the pool grows.
 
-use cassiarock_id::{Process, Task, Wall};
+use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::LoadReport;
-use cassiarock_policy::place::{Action, Job, Key, Placer, Setting, Upstream};
+use cassiarock_policy::place::{Action, Placer, ReadyTasks, Setting, TaskKey, Upstream};
 use cassiarock_policy::{Due, PlacementPolicy};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 /// An entry in steady state, seven of ten slots in use.
 struct Desk {
     placer: Placer,
-    running: VecDeque<(Process, Key)>,
+    running: VecDeque<(Process, TaskKey)>,
     seen: Vec<(u32, u16)>,
     next: u64,
     /// Time spent in placement decisions.
@@ -39,10 +39,10 @@
 
     fn start(&mut self) {
         self.next += 1;
-        let id = cassiarock_id::Job::with_bits(Wall::from_millis(1), self.next);
+        let id = Job::with_bits(Wall::from_millis(1), self.next);
         let now = Duration::from_micros(self.next);
         let due = Due::new(now, Duration::from_millis(100));
-        self.placer.admit(Job::new(id, due, vec![Task(0)]));
+        self.placer.admit(ReadyTasks::new(id, due, vec![Task(0)]));
         let begin = Instant::now();
         let actions = self.placer.poll(now);
         self.placing += begin.elapsed();
--- a/crates/cassiarock-policy/tests/model/entry.rs
+++ b/crates/cassiarock-policy/tests/model/entry.rs
@@ -5,7 +5,7 @@
 use cassiarock_id::{Name, Process, Task};
 use cassiarock_policy::dispatch::{Answer, Dispatcher, End, Submission};
 use cassiarock_policy::load::LoadReport;
-use cassiarock_policy::place::{Key, Upstream};
+use cassiarock_policy::place::{TaskKey, Upstream};
 use cassiarock_policy::retry::Proof;
 use cassiarock_policy::size::Need;
 use std::time::Duration;
@@ -55,7 +55,7 @@
     pub fn end(
         &mut self,
         agent: &Process,
-        key: &Key,
+        key: &TaskKey,
         load: LoadReport,
         ran: Option<Duration>,
         now: Duration,
--- a/crates/cassiarock-policy/tests/model/world.rs
+++ b/crates/cassiarock-policy/tests/model/world.rs
@@ -5,7 +5,7 @@
 use cassiarock_id::{Process, Wall};
 use cassiarock_policy::dispatch::{self, Answer};
 use cassiarock_policy::load::{LoadReport, SlotDemand};
-use cassiarock_policy::place::{self, Key, Placed};
+use cassiarock_policy::place::{self, PlacedTask, TaskKey};
 use cassiarock_policy::slot::{self, Pool, Verdict};
 use cassiarock_policy::{Objective, PlacementPolicy};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -91,19 +91,19 @@
 #[derive(Debug)]
 enum Event {
     Arrive(usize),
-    Start(usize, usize, Vec<Placed>, SlotDemand),
+    Start(usize, usize, Vec<PlacedTask>, SlotDemand),
     Demand(usize, usize, SlotDemand),
     Drop(usize, cassiarock_id::Job),
-    Outcome(usize, usize, Key, LoadReport, Option<Duration>),
-    Reject(usize, usize, Key, LoadReport),
+    Outcome(usize, usize, TaskKey, LoadReport, Option<Duration>),
+    Reject(usize, usize, TaskKey, LoadReport),
     Grant(usize, usize, LoadReport),
-    End(usize, Key, Option<Duration>),
+    End(usize, TaskKey, Option<Duration>),
     WakeEntry(usize),
     WakeAgent(usize),
     Tick,
     Deadline(usize),
     Cancel(usize),
-    Retry(usize, Key),
+    Retry(usize, TaskKey),
     Fault(usize, Fault),
     Outage(bool),
 }
@@ -278,7 +278,7 @@
         self.poll_entry(entry);
     }
 
-    fn start(&mut self, agent: usize, entry: usize, tasks: &[Placed], ask: &SlotDemand) {
+    fn start(&mut self, agent: usize, entry: usize, tasks: &[PlacedTask], ask: &SlotDemand) {
         if self.is_out {
             return;
         }
@@ -304,7 +304,7 @@
         self.poll_agent(agent);
     }
 
-    fn begin(&mut self, agent: usize, key: Key) {
+    fn begin(&mut self, agent: usize, key: TaskKey) {
         let job = &self.jobs[index(key.job)];
         // The start message is void after the caller's deadline.
         if self.now >= job.at + job.within {
@@ -323,7 +323,7 @@
         self.at(self.now + run, Event::End(agent, key, ran));
     }
 
-    fn end(&mut self, agent: usize, key: &Key, ran: Option<Duration>) {
+    fn end(&mut self, agent: usize, key: &TaskKey, ran: Option<Duration>) {
         let finish = self.agents[agent].1.finish(key, self.now);
         if let Some((_, next)) = finish.next {
             self.begin(agent, next);
@@ -339,7 +339,7 @@
         &mut self,
         entry: usize,
         agent: usize,
-        key: &Key,
+        key: &TaskKey,
         load: LoadReport,
         ran: Option<Duration>,
     ) {
--- a/crates/cassiarock-policy/tests/place.rs
+++ b/crates/cassiarock-policy/tests/place.rs
@@ -1,8 +1,10 @@
 //! The placement of one entry, event by event.
 
-use cassiarock_id::{Process, Task, Wall};
+use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::LoadReport;
-use cassiarock_policy::place::{Action, Job, Key, Placed, Placer, Setting, Upstream};
+use cassiarock_policy::place::{
+    Action, PlacedTask, Placer, ReadyTasks, Setting, TaskKey, Upstream,
+};
 use cassiarock_policy::{Due, PlacementPolicy};
 use std::time::Duration;
 
@@ -18,13 +20,13 @@
     placer
 }
 
-fn job(bits: u64, tasks: u16) -> Job {
-    let id = cassiarock_id::Job::with_bits(Wall::from_millis(1), bits);
+fn job(bits: u64, tasks: u16) -> ReadyTasks {
+    let id = Job::with_bits(Wall::from_millis(1), bits);
     let due = Due::new(Duration::ZERO, Duration::from_millis(u64::from(tasks)));
-    Job::new(id, due, (0..tasks).map(Task).collect())
+    ReadyTasks::new(id, due, (0..tasks).map(Task).collect())
 }
 
-fn started(actions: &[Action]) -> Vec<(Process, Vec<Placed>)> {
+fn started(actions: &[Action]) -> Vec<(Process, Vec<PlacedTask>)> {
     let starts = actions.iter().filter_map(|action| match action {
         Action::Start { agent, tasks, .. } => Some((agent.clone(), tasks.clone())),
         Action::Demand { .. } => None,
@@ -101,7 +103,7 @@
         seen: 8,
         ..LoadReport::default()
     };
-    let done = Key::new(job(1, 20).id, Task(0));
+    let done = TaskKey::new(job(1, 20).id, Task(0));
     placer.end(&agent(0), &done, Some(load), Duration::from_millis(100));
     assert_eq!(placer.poll(Duration::from_millis(100)), []);
 }
--- a/crates/cassiarock-policy/tests/slot.rs
+++ b/crates/cassiarock-policy/tests/slot.rs
@@ -2,16 +2,16 @@
 
 use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::SlotDemand;
-use cassiarock_policy::place::{Key, Placed};
+use cassiarock_policy::place::{PlacedTask, TaskKey};
 use cassiarock_policy::slot::{Action, Pool, Setting, Verdict};
 use std::time::Duration;
 
-fn key(task: u16) -> Key {
-    Key::new(Job::with_bits(Wall::from_millis(1), 1), Task(task))
+fn key(task: u16) -> TaskKey {
+    TaskKey::new(Job::with_bits(Wall::from_millis(1), 1), Task(task))
 }
 
-fn placed(task: u16) -> Placed {
-    Placed::new(key(task), 0)
+fn placed(task: u16) -> PlacedTask {
+    PlacedTask::new(key(task), 0)
 }
 
 fn entry(name: &str) -> Process {
@@ -32,7 +32,7 @@
 
 fn full_pool() -> Pool {
     let mut pool = Pool::new(Setting::new(8));
-    let tasks: Vec<Placed> = (0..8).map(placed).collect();
+    let tasks: Vec<PlacedTask> = (0..8).map(placed).collect();
     let verdicts = pool.start(&entry("a"), &tasks, &SlotDemand::default(), ms(0));
     assert_eq!(verdicts, [Verdict::Run; 8]);
     pool
