--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -6,7 +6,7 @@
 use cassiarock_id::{Job, Process};
 use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::Upstream;
-use cassiarock_policy::size::Need;
+use cassiarock_policy::size::Resources;
 use cassiarock_process::Now;
 use cassiarock_rule as rule;
 use cassiarock_wire::{Frame, Ping, Pong};
@@ -22,7 +22,7 @@
         let slots = u16::try_from(member.slots).unwrap_or(u16::MAX);
         let upstream = Upstream::new(agent.clone(), slots)
             .with_location(member.data_centre.clone(), member.rack.clone());
-        let has = member.has.as_ref().map_or(Need::MOST, need);
+        let has = member.has.as_ref().map_or(Resources::UNLIMITED, need);
         let (pool, leaving) = (member.pool.clone(), member.leaving);
         self.agents.insert(agent.clone(), pool.clone());
         self.silent.remove(agent);
@@ -104,8 +104,8 @@
     }
 }
 
-fn need(has: &rule::request::Need) -> Need {
+fn need(has: &rule::request::Need) -> Resources {
     let cores = u64::from(has.cores);
     let accelerators = u64::from(has.accelerators);
-    Need::new(cores * 1000, u64::from(has.memory), accelerators)
+    Resources::new(cores * 1000, u64::from(has.memory), accelerators)
 }
--- a/crates/cassiarock-entry/src/state/calls.rs
+++ b/crates/cassiarock-entry/src/state/calls.rs
@@ -8,7 +8,7 @@
 use cassiarock_claim::owner::{Event, Owner};
 use cassiarock_id::{Job, Name};
 use cassiarock_policy::dispatch;
-use cassiarock_policy::size::Need;
+use cassiarock_policy::size::Resources;
 use cassiarock_process::Now;
 use cassiarock_rule as rule;
 use std::sync::Arc;
@@ -243,7 +243,7 @@
         tasks.len(),
     );
     let offered = offered
-        .with_need(need.fold(Need::default(), Need::max))
+        .with_need(need.fold(Resources::default(), Resources::max))
         .with_deadline(within);
     match declared {
         Some(declared) => offered.with_declared(declared),
@@ -251,10 +251,10 @@
     }
 }
 
-fn task_need(need: &caller::Need) -> Need {
+fn task_need(need: &caller::Need) -> Resources {
     // Whatever is out of range is more than any upstream has.
     let millis = (need.cores * 1000.0).clamp(0.0, 1e15) as u64;
-    Need::new(
+    Resources::new(
         millis,
         need.memory.div_ceil(MEGABYTE),
         u64::from(need.accelerators),
--- a/crates/cassiarock-policy/src/admit/gate.rs
+++ b/crates/cassiarock-policy/src/admit/gate.rs
@@ -5,7 +5,7 @@
 use super::setting::Setting;
 use super::spread::Spread;
 use super::team::{Share, Teams, Usage};
-use crate::size::Estimate;
+use crate::size::Estimator;
 use cassiarock_id::{Job, Name, Process};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -97,7 +97,7 @@
         let burst = self.setting.burst;
         let ahead = self.teams.charge(&offer.team, work, self.slots, burst, now);
         self.keep(offer, work, now);
-        let due = Estimate::due(now, offer.work, self.slots as usize);
+        let due = Estimator::due(now, offer.work, self.slots as usize);
         Answer::Admit(due.plus(ahead))
     }
 
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -7,7 +7,7 @@
 use crate::load::LoadReport;
 use crate::place::{Action, Placer, TaskKey, Upstream};
 use crate::retry::{Budget, Proof};
-use crate::size::{Estimate, Fit, Need, Verdict};
+use crate::size::{Capacities, Estimator, Feasibility, Resources};
 use crate::{Due, place};
 use cassiarock_id::{Job, Name, Process, Task};
 use std::collections::HashMap;
@@ -31,13 +31,13 @@
 /// use cassiarock_id::{Job, Name, Process, Task, Wall};
 /// use cassiarock_policy::dispatch::{Answer, Dispatcher, Setting, Submission};
 /// use cassiarock_policy::place::{Action, Upstream};
-/// use cassiarock_policy::size::Need;
+/// use cassiarock_policy::size::Resources;
 /// use cassiarock_policy::{PlacementPolicy, Objective};
 /// use std::time::Duration;
 /// let setting = Setting::new(PlacementPolicy::Credits, Objective::Messages);
 /// let mut dispatcher = Dispatcher::new(setting, 1);
 /// let upstream = Upstream::new(Process::new("agent-1", 1), 8);
-/// dispatcher.add(upstream, Need::new(64_000, 128 << 10, 0));
+/// dispatcher.add(upstream, Resources::new(64_000, 128 << 10, 0));
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let job = Submission::new(id, Name::from("valley-3"), Name::from("seat-check"), 1);
 /// let now = Duration::ZERO;
@@ -50,9 +50,9 @@
     placer: Placer,
     gate: Gate,
     monitor: Monitor,
-    estimate: Estimate,
+    estimate: Estimator,
     budget: Budget,
-    fit: Fit,
+    fit: Capacities,
     slots: HashMap<Process, u16>,
     jobs: HashMap<Job, Admitted>,
 }
@@ -65,16 +65,16 @@
             placer: Placer::new(setting.place, seed),
             gate: Gate::new(setting.admit, seed),
             monitor: Monitor::new(setting.health),
-            estimate: Estimate::default(),
+            estimate: Estimator::default(),
             budget: Budget::new(setting.retry, seed),
-            fit: Fit::default(),
+            fit: Capacities::default(),
             slots: HashMap::new(),
             jobs: HashMap::new(),
         }
     }
 
     /// An upstream with the resources `has` can be reached, for the first time or again.
-    pub fn add(&mut self, upstream: Upstream, has: Need) {
+    pub fn add(&mut self, upstream: Upstream, has: Resources) {
         let agent = upstream.agent.clone();
         self.slots.insert(agent.clone(), upstream.slots);
         self.count_slots();
@@ -127,7 +127,7 @@
     /// Decides whether to admit a job. Nothing of it is sent before it is released.
     pub fn offer(&mut self, job: &Submission, now: Duration) -> Answer {
         let learned = self.estimate.need(&job.kind);
-        if let Verdict::Never(resource) = self.fit.check(&job.need, &learned) {
+        if let Feasibility::Impossible(resource) = self.fit.check(&job.need, &learned) {
             return Answer::Refuse {
                 reason: Reason::Impossible(resource),
                 retry_after: None,
--- a/crates/cassiarock-policy/src/dispatch/submission.rs
+++ b/crates/cassiarock-policy/src/dispatch/submission.rs
@@ -1,7 +1,7 @@
 //! What an entry submits to its dispatcher, and what it is told.
 
 use crate::admit;
-use crate::size::{Need, Resource};
+use crate::size::{ResourceKind, Resources};
 use cassiarock_id::{Job, Name};
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     /// The run time that the caller declares for one task.
     pub declared: Option<Duration>,
     /// What the caller declares that one task needs.
-    pub need: Need,
+    pub need: Resources,
     /// The time left until the caller's deadline.
     pub within: Option<Duration>,
 }
@@ -42,7 +42,7 @@
             kind,
             tasks,
             declared: None,
-            need: Need::new(0, 0, 0),
+            need: Resources::new(0, 0, 0),
             within: None,
         }
     }
@@ -56,7 +56,7 @@
 
     /// With a declared need per task.
     #[must_use]
-    pub const fn with_need(mut self, need: Need) -> Self {
+    pub const fn with_need(mut self, need: Resources) -> Self {
         self.need = need;
         self
     }
@@ -89,7 +89,7 @@
     /// Too much work for now.
     Load(admit::Reason),
     /// No upstream of the pool has enough of the resource.
-    Impossible(Resource),
+    Impossible(ResourceKind),
 }
 
 impl Reason {
--- a/crates/cassiarock-policy/src/size/fit.rs
+++ b/crates/cassiarock-policy/src/size/capacities.rs
@@ -1,6 +1,6 @@
 //! Whether any upstream could ever run a task.
 
-use super::need::{Need, Resource};
+use super::resources::{ResourceKind, Resources};
 use cassiarock_id::Process;
 use std::collections::HashMap;
 
@@ -10,11 +10,11 @@
 
 /// Whether a task fits some upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum Feasibility {
     /// It fits, or may.
     Fits,
     /// No known upstream has enough of this resource: refuse the job, nothing has run.
-    Never(Resource),
+    Impossible(ResourceKind),
     /// No upstream is known yet: wait.
     Unknown,
 }
@@ -26,22 +26,22 @@
 ///
 /// ```
 /// use cassiarock_id::Process;
-/// use cassiarock_policy::size::{Fit, Need, Resource, Verdict};
-/// let mut fit = Fit::default();
-/// fit.add(Process::new("agent-1", 1), Need::new(32_000, 64 << 10, 0));
-/// assert_eq!(fit.check(&Need::new(500, 256, 0), &Need::default()), Verdict::Fits);
-/// let picky = Need::new(500, 256, 1);
-/// assert_eq!(fit.check(&picky, &Need::default()), Verdict::Never(Resource::Accelerator));
+/// use cassiarock_policy::size::{Capacities, Resources, ResourceKind, Feasibility};
+/// let mut fit = Capacities::default();
+/// fit.add(Process::new("agent-1", 1), Resources::new(32_000, 64 << 10, 0));
+/// assert_eq!(fit.check(&Resources::new(500, 256, 0), &Resources::default()), Feasibility::Fits);
+/// let picky = Resources::new(500, 256, 1);
+/// assert_eq!(fit.check(&picky, &Resources::default()), Feasibility::Impossible(ResourceKind::Accelerator));
 /// ```
 #[derive(Debug, Default)]
-pub struct Fit {
-    upstreams: HashMap<Process, Need>,
-    largest: Need,
+pub struct Capacities {
+    upstreams: HashMap<Process, Resources>,
+    largest: Resources,
 }
 
-impl Fit {
+impl Capacities {
     /// An upstream with `has` announced itself.
-    pub fn add(&mut self, agent: Process, has: Need) {
+    pub fn add(&mut self, agent: Process, has: Resources) {
         self.upstreams.insert(agent, has);
         self.largest = self.largest.max(has);
     }
@@ -51,19 +51,19 @@
     pub fn remove(&mut self, agent: &Process) {
         self.upstreams.remove(agent);
         let all = self.upstreams.values();
-        self.largest = all.fold(Need::default(), |largest, has| largest.max(*has));
+        self.largest = all.fold(Resources::default(), |largest, has| largest.max(*has));
     }
 
     /// Judges a task by what it declares and by the peak learned for its kind.
     #[must_use]
-    pub fn check(&self, declared: &Need, learned: &Need) -> Verdict {
+    pub fn check(&self, declared: &Resources, learned: &Resources) -> Feasibility {
         if self.upstreams.is_empty() {
-            return Verdict::Unknown;
+            return Feasibility::Unknown;
         }
         let impossible = learned.exceeds(&self.largest, 1);
         match impossible.or_else(|| declared.exceeds(&self.largest, DISTRUST)) {
-            Some(resource) => Verdict::Never(resource),
-            None => Verdict::Fits,
+            Some(resource) => Feasibility::Impossible(resource),
+            None => Feasibility::Fits,
         }
     }
 }
--- a/crates/cassiarock-policy/src/size/estimate.rs
+++ b/crates/cassiarock-policy/src/size/estimator.rs
@@ -1,7 +1,7 @@
 //! Run times and needs by kind of task.
 
-use super::kind::Kind;
-use super::need::Need;
+use super::kind::KindEstimate;
+use super::resources::Resources;
 use crate::Due;
 use cassiarock_id::Name;
 use std::collections::HashMap;
@@ -27,9 +27,9 @@
 ///
 /// ```
 /// use cassiarock_id::Name;
-/// use cassiarock_policy::size::Estimate;
+/// use cassiarock_policy::size::Estimator;
 /// use std::time::Duration;
-/// let mut estimate = Estimate::default();
+/// let mut estimate = Estimator::default();
 /// let kind = Name::from("seat-check");
 /// let declared = Some(Duration::from_secs(10));
 /// for _ in 0..20 {
@@ -39,19 +39,19 @@
 /// assert!(expected > Duration::from_millis(99) && expected < Duration::from_millis(101));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Estimate {
-    kinds: HashMap<Name, Kind>,
-    others: Kind,
+pub struct Estimator {
+    kinds: HashMap<Name, KindEstimate>,
+    others: KindEstimate,
 }
 
-impl Estimate {
+impl Estimator {
     /// A task of `kind` ran for `ran`. Failed tasks teach nothing: they end early.
     pub fn learn(&mut self, kind: &Name, declared: Option<Duration>, ran: Duration) {
         self.kind(kind).learn(declared, ran);
     }
 
     /// A task of `kind` was seen to use `used` at its peak.
-    pub fn learn_need(&mut self, kind: &Name, used: Need) {
+    pub fn learn_usage(&mut self, kind: &Name, used: Resources) {
         let kind = self.kind(kind);
         kind.peak = kind.peak.max(used);
     }
@@ -68,7 +68,7 @@
     /// well enough to tell: a new kind must not make its upstream look slow.
     #[must_use]
     pub fn slowness(&self, kind: &Name, declared: Option<Duration>, ran: Duration) -> f64 {
-        if !self.kinds.get(kind).is_some_and(Kind::is_known) {
+        if !self.kinds.get(kind).is_some_and(KindEstimate::is_known) {
             return 1.0;
         }
         let expected = self.run_time(kind, declared).as_secs_f64();
@@ -77,10 +77,10 @@
 
     /// The largest need seen of the kind.
     #[must_use]
-    pub fn need(&self, kind: &Name) -> Need {
+    pub fn need(&self, kind: &Name) -> Resources {
         self.kinds
             .get(kind)
-            .map_or(Need::default(), |kind| kind.peak)
+            .map_or(Resources::default(), |kind| kind.peak)
     }
 
     /// When a job is due that arrived at `arrival` with `work` of slot time in all, in a
@@ -91,7 +91,7 @@
         Due::new(arrival, ideal.mul_f64(STRETCH))
     }
 
-    fn kind(&mut self, name: &Name) -> &mut Kind {
+    fn kind(&mut self, name: &Name) -> &mut KindEstimate {
         if self.kinds.len() >= KINDS && !self.kinds.contains_key(name) {
             return &mut self.others;
         }
--- a/crates/cassiarock-policy/src/size/kind.rs
+++ b/crates/cassiarock-policy/src/size/kind.rs
@@ -1,6 +1,6 @@
 //! What outcomes taught about one kind of task.
 
-use super::need::Need;
+use super::resources::Resources;
 use std::time::Duration;
 
 /// How much one sample counts at least. Younger samples weigh more, so that a kind that
@@ -23,17 +23,17 @@
 
 /// Learned values of one kind.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Kind {
+pub(super) struct KindEstimate {
     samples: u32,
     mean: f64,
     declared_samples: u32,
     /// Mean and variance of the logarithm of run time over declared run time.
     ratio: f64,
     scatter: f64,
-    pub(super) peak: Need,
+    pub(super) peak: Resources,
 }
 
-impl Kind {
+impl KindEstimate {
     pub(super) fn learn(&mut self, declared: Option<Duration>, ran: Duration) {
         let ran = ran.as_secs_f64().max(SHORTEST);
         let sample = if self.samples < TRUSTED_AFTER {
--- a/crates/cassiarock-policy/src/size/mod.rs
+++ b/crates/cassiarock-policy/src/size/mod.rs
@@ -1,10 +1,10 @@
 //! What a task takes: its run time and its need, learned rather than believed.
 
-mod estimate;
-mod fit;
+mod capacities;
+mod estimator;
 mod kind;
-mod need;
+mod resources;
 
-pub use estimate::Estimate;
-pub use fit::{Fit, Verdict};
-pub use need::{Need, Resource};
+pub use capacities::{Capacities, Feasibility};
+pub use estimator::Estimator;
+pub use resources::{ResourceKind, Resources};
--- a/crates/cassiarock-policy/src/size/need.rs
+++ b/crates/cassiarock-policy/src/size/resources.rs
@@ -4,7 +4,7 @@
 
 /// A resource.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Resource {
+pub enum ResourceKind {
     /// Processor time.
     Processor,
     /// Memory.
@@ -16,13 +16,13 @@
 /// Amounts of each resource.
 ///
 /// ```
-/// use cassiarock_policy::size::Need;
-/// let worker = Need::new(64_000, 128 << 10, 0);
-/// assert_eq!(Need::new(500, 256, 0).max(worker), worker);
+/// use cassiarock_policy::size::Resources;
+/// let worker = Resources::new(64_000, 128 << 10, 0);
+/// assert_eq!(Resources::new(500, 256, 0).max(worker), worker);
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
-pub struct Need {
+pub struct Resources {
     /// Processors, in thousandths.
     pub milli_processors: u64,
     /// Memory, in MiB.
@@ -31,9 +31,9 @@
     pub accelerators: u64,
 }
 
-impl Need {
+impl Resources {
     /// More than any task needs: of an upstream that did not say what it has.
-    pub const MOST: Self = Self::new(u64::MAX, u64::MAX, u64::MAX);
+    pub const UNLIMITED: Self = Self::new(u64::MAX, u64::MAX, u64::MAX);
 
     /// The given amounts.
     #[must_use]
@@ -56,14 +56,14 @@
     }
 
     /// The first resource of which this is more than `times` times `limit`.
-    pub(super) fn exceeds(&self, limit: &Self, times: u64) -> Option<Resource> {
+    pub(super) fn exceeds(&self, limit: &Self, times: u64) -> Option<ResourceKind> {
         if self.milli_processors > limit.milli_processors.saturating_mul(times) {
-            return Some(Resource::Processor);
+            return Some(ResourceKind::Processor);
         }
         if self.memory_mib > limit.memory_mib.saturating_mul(times) {
-            return Some(Resource::Memory);
+            return Some(ResourceKind::Memory);
         }
         // Accelerators are counted, not estimated: a declared number is meant.
-        (self.accelerators > limit.accelerators).then_some(Resource::Accelerator)
+        (self.accelerators > limit.accelerators).then_some(ResourceKind::Accelerator)
     }
 }
--- a/crates/cassiarock-policy/tests/model/entry.rs
+++ b/crates/cassiarock-policy/tests/model/entry.rs
@@ -7,7 +7,7 @@
 use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::{TaskKey, Upstream};
 use cassiarock_policy::retry::Proof;
-use cassiarock_policy::size::Need;
+use cassiarock_policy::size::Resources;
 use std::time::Duration;
 
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     pub fn add(&mut self, agent: &Process, slots: u16) {
         let upstream = Upstream::new(agent.clone(), slots);
         self.dispatcher
-            .add(upstream, Need::new(64_000, 128 << 10, 0));
+            .add(upstream, Resources::new(64_000, 128 << 10, 0));
     }
 
     /// Admits a job and releases its tasks, or refuses it.
--- a/crates/cassiarock-policy/tests/size.rs
+++ b/crates/cassiarock-policy/tests/size.rs
@@ -1,15 +1,15 @@
 //! Learned run times and needs.
 
 use cassiarock_id::{Name, Process};
-use cassiarock_policy::size::{Estimate, Fit, Need, Resource, Verdict};
+use cassiarock_policy::size::{Capacities, Estimator, Feasibility, ResourceKind, Resources};
 use std::time::Duration;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn learned(declared: impl Fn(u64) -> Duration, ran: impl Fn(u64) -> Duration) -> Estimate {
-    let mut estimate = Estimate::default();
+fn learned(declared: impl Fn(u64) -> Duration, ran: impl Fn(u64) -> Duration) -> Estimator {
+    let mut estimate = Estimator::default();
     for index in 0..60 {
         estimate.learn(&Name::from("k"), Some(declared(index)), ran(index));
     }
@@ -47,7 +47,7 @@
 
 #[test]
 fn names_beyond_the_bound_share_one_estimate() {
-    let mut estimate = Estimate::default();
+    let mut estimate = Estimator::default();
     for index in 0..5000 {
         estimate.learn(&Name::from(format!("k{index}")), None, ms(300));
     }
@@ -55,14 +55,20 @@
 }
 
 #[yare::parameterized(
-    modest = { Need::new(1000, 512, 0), Verdict::Fits },
-    declared_ten_times_too_large = { Need::new(600_000, 512, 0), Verdict::Fits },
-    far_too_much_memory = { Need::new(1000, 20 << 20, 0), Verdict::Never(Resource::Memory) },
-    an_accelerator = { Need::new(1000, 512, 1), Verdict::Never(Resource::Accelerator) },
+    modest = { Resources::new(1000, 512, 0), Feasibility::Fits },
+    declared_ten_times_too_large = { Resources::new(600_000, 512, 0), Feasibility::Fits },
+    far_too_much_memory = { Resources::new(1000, 20 << 20, 0), Feasibility::Impossible(ResourceKind::Memory) },
+    an_accelerator = { Resources::new(1000, 512, 1), Feasibility::Impossible(ResourceKind::Accelerator) },
 )]
-fn a_task_is_refused_only_if_no_upstream_can_run_it(declared: Need, verdict: Verdict) {
-    let mut fit = Fit::default();
-    assert_eq!(fit.check(&declared, &Need::default()), Verdict::Unknown);
-    fit.add(Process::new("agent-1", 1), Need::new(64_000, 128 << 10, 0));
-    assert_eq!(fit.check(&declared, &Need::default()), verdict);
+fn a_task_is_refused_only_if_no_upstream_can_run_it(declared: Resources, verdict: Feasibility) {
+    let mut fit = Capacities::default();
+    assert_eq!(
+        fit.check(&declared, &Resources::default()),
+        Feasibility::Unknown
+    );
+    fit.add(
+        Process::new("agent-1", 1),
+        Resources::new(64_000, 128 << 10, 0),
+    );
+    assert_eq!(fit.check(&declared, &Resources::default()), verdict);
 }
