--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -12,7 +12,7 @@
 use cassiarock_id::{Name, Process, Wall};
 use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::TaskKey;
-use cassiarock_policy::slot::{Pool, Setting};
+use cassiarock_policy::slot::{Setting, SlotScheduler};
 use cassiarock_process::{Behind, Now};
 use cassiarock_rule as rule;
 use cassiarock_wire::{Frame, Ping, Pong};
@@ -30,7 +30,7 @@
     me: Process,
     pub(crate) ledger: Ledger,
     pub(crate) keeper: Keeper,
-    pub(crate) pool: Pool,
+    pub(crate) pool: SlotScheduler,
     pub(crate) view: View,
     adopted: Duration,
     evicted: Duration,
@@ -61,7 +61,7 @@
         Self {
             ledger: Ledger::new(me.clone(), limit),
             keeper: Keeper::new(me.clone(), limit),
-            pool: Pool::new(slots),
+            pool: SlotScheduler::new(slots),
             view: View::new(0, []),
             adopted: Duration::ZERO,
             evicted: Duration::ZERO,
@@ -79,7 +79,7 @@
     /// An entry opened a link. What it counted on the last one begins anew. All entries
     /// are told of each other: nothing else tells them.
     pub(crate) fn link(&mut self, entry: Process, address: Name) -> Vec<Action> {
-        self.pool.lose(&entry);
+        self.pool.disconnect(&entry);
         let pinged = Wall::default();
         self.entries.insert(entry, Entry { address, pinged });
         let known = self.entries.iter();
@@ -95,7 +95,7 @@
     /// The last link with an entry is gone.
     pub(crate) fn unlink(&mut self, entry: &Process) {
         self.entries.remove(entry);
-        self.pool.lose(entry);
+        self.pool.disconnect(entry);
     }
 
     /// The log's state moved on. The entries are told at once: until a majority of the
@@ -135,7 +135,7 @@
             Frame::Ping(ping) => self.ping(entry, &ping, now),
             Frame::Run { runs, ask } => self.run(entry, runs, &ask, now),
             Frame::Demand(ask) => {
-                self.pool.ask(entry, &ask, now.up);
+                self.pool.set_demand(entry, &ask, now.up);
                 Vec::new()
             }
             Frame::Cancel(cancel) => self.cancel(entry, &cancel, now),
@@ -190,7 +190,7 @@
 
     /// When `poll` has to be called at the latest.
     pub(crate) fn wake(&self) -> Option<Duration> {
-        self.pool.wake()
+        self.pool.next_poll()
     }
 
     /// The worker's health changed. An unhealthy worker's slots are not offered, and
@@ -236,7 +236,7 @@
 
     /// What an entry is told of the slots.
     fn load_for(&mut self, entry: &Process, now: Now) -> LoadReport {
-        let load = self.pool.report(entry, now.up);
+        let load = self.pool.load_report(entry, now.up);
         if self.healthy {
             return load;
         }
--- a/crates/cassiarock-agent/src/state/tasks.rs
+++ b/crates/cassiarock-agent/src/state/tasks.rs
@@ -33,7 +33,7 @@
             }
         }
         let settled = u32::try_from(refused.len()).unwrap_or(u32::MAX);
-        self.pool.skip(entry, settled, now.up);
+        self.pool.count_skipped(entry, settled, now.up);
         let placed: Vec<PlacedTask> = accepted.iter().map(placed).collect();
         let verdicts = self.pool.start(entry, &placed, ask, now.up);
         for (work, verdict) in accepted.into_iter().zip(verdicts) {
--- a/crates/cassiarock-policy/src/slot/pool.rs
+++ b/crates/cassiarock-policy/src/slot/scheduler.rs
@@ -15,7 +15,7 @@
 pub enum Verdict {
     /// Run it now.
     Run,
-    /// It waits here; [`Finish::next`] or [`Pool::poll`] runs it later.
+    /// It waits here; [`Finish::next`] or [`SlotScheduler::poll`] runs it later.
     Queued,
     /// No slot and no place in the queue: reject it. The entry may place it elsewhere.
     Full,
@@ -61,17 +61,17 @@
 /// use cassiarock_id::{Job, Process, Task, Wall};
 /// use cassiarock_policy::load::SlotDemand;
 /// use cassiarock_policy::place::{TaskKey, PlacedTask};
-/// use cassiarock_policy::slot::{Pool, Setting, Verdict};
+/// use cassiarock_policy::slot::{SlotScheduler, Setting, Verdict};
 /// use std::time::Duration;
 /// let entry = Process::new("entry-1", 1);
 /// let key = TaskKey::new(Job::with_bits(Wall::from_millis(1), 1), Task(0));
-/// let mut pool = Pool::new(Setting::new(8));
+/// let mut pool = SlotScheduler::new(Setting::new(8));
 /// let now = Duration::ZERO;
 /// assert_eq!(pool.start(&entry, &[PlacedTask::new(key, 0)], &SlotDemand::default(), now), [Verdict::Run]);
 /// assert_eq!(pool.finish(&key, now).load.open, 8);
 /// ```
 #[derive(Debug)]
-pub struct Pool {
+pub struct SlotScheduler {
     setting: Setting,
     running: HashMap<TaskKey, Process>,
     queue: Queue,
@@ -80,7 +80,7 @@
     idle_since: Option<Duration>,
 }
 
-impl Pool {
+impl SlotScheduler {
     /// An upstream on which nothing runs.
     #[must_use]
     pub fn new(setting: Setting) -> Self {
@@ -113,13 +113,13 @@
 
     /// Counts tasks of a start frame that the agent settles without a slot: repeats, and
     /// starts that its ledger rejects.
-    pub fn skip(&mut self, entry: &Process, tasks: u32, now: Duration) {
+    pub fn count_skipped(&mut self, entry: &Process, tasks: u32, now: Duration) {
         let demand = self.register.of(entry, now);
         demand.seen = demand.seen.wrapping_add(tasks);
     }
 
     /// Takes in a demand frame, or a start frame without tasks.
-    pub fn ask(&mut self, entry: &Process, ask: &SlotDemand, now: Duration) {
+    pub fn set_demand(&mut self, entry: &Process, ask: &SlotDemand, now: Duration) {
         self.register.ask(entry, ask, now);
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// What a reject frame to `entry` says.
-    pub fn report(&mut self, entry: &Process, now: Duration) -> LoadReport {
+    pub fn load_report(&mut self, entry: &Process, now: Duration) -> LoadReport {
         self.load(entry, 0, now)
     }
 
@@ -154,12 +154,12 @@
 
     /// The connection to an entry is gone: its credits and demand are void. Its tasks
     /// run on, their outcomes are kept for whoever asks.
-    pub fn lose(&mut self, entry: &Process) {
+    pub fn disconnect(&mut self, entry: &Process) {
         self.register.remove(entry);
     }
 
     /// The queued tasks to run and the grant frames to send now. Call after every event
-    /// and at [`Self::wake`].
+    /// and at [`Self::next_poll`].
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
         self.register.expire(&self.setting, now);
         let mut actions = Vec::new();
@@ -180,7 +180,7 @@
 
     /// When [`Self::poll`] has to be called at the latest, if no event comes before.
     #[must_use]
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_poll(&self) -> Option<Duration> {
         let patience = self.idle_since.map(|since| since + self.setting.patience);
         let expiry = self.register.next_expiry();
         patience.into_iter().chain(expiry).min()
--- a/crates/cassiarock-policy/src/slot/setting.rs
+++ b/crates/cassiarock-policy/src/slot/setting.rs
@@ -3,7 +3,7 @@
 use crate::Objective;
 use std::time::Duration;
 
-/// Bounds and waiting times of a [`super::Pool`].
+/// Bounds and waiting times of a [`super::SlotScheduler`].
 ///
 /// ```
 /// use cassiarock_policy::slot::Setting;
--- a/crates/cassiarock-policy/tests/model/world.rs
+++ b/crates/cassiarock-policy/tests/model/world.rs
@@ -6,7 +6,7 @@
 use cassiarock_policy::dispatch::{self, Answer};
 use cassiarock_policy::load::{LoadReport, SlotDemand};
 use cassiarock_policy::place::{self, PlacedTask, TaskKey};
-use cassiarock_policy::slot::{self, Pool, Verdict};
+use cassiarock_policy::slot::{self, SlotScheduler, Verdict};
 use cassiarock_policy::{Objective, PlacementPolicy};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -116,7 +116,7 @@
     shape: Shape,
     jobs: &'a [Job],
     entries: Vec<Entry>,
-    agents: Vec<(Process, Pool)>,
+    agents: Vec<(Process, SlotScheduler)>,
     index: HashMap<Process, usize>,
     events: BTreeMap<(Duration, u64), Event>,
     next: u64,
@@ -133,7 +133,12 @@
 impl<'a> World<'a> {
     pub fn new(shape: Shape, jobs: &'a [Job]) -> Self {
         let agents: Vec<_> = (0..shape.agents)
-            .map(|i| (Process::new(format!("agent-{i}"), 1), Pool::new(shape.slot)))
+            .map(|i| {
+                (
+                    Process::new(format!("agent-{i}"), 1),
+                    SlotScheduler::new(shape.slot),
+                )
+            })
             .collect();
         let names: Vec<Process> = agents.iter().map(|(name, _)| name.clone()).collect();
         let entries: Vec<_> = (0..shape.entries)
@@ -290,7 +295,7 @@
                 Verdict::Queued => {}
                 Verdict::Full => {
                     self.count.rejects += 1;
-                    let load = self.agents[agent].1.report(&name, self.now);
+                    let load = self.agents[agent].1.load_report(&name, self.now);
                     self.send(Event::Reject(entry, agent, task.key, load));
                 }
             }
@@ -300,7 +305,7 @@
 
     fn demand(&mut self, agent: usize, entry: usize, ask: &SlotDemand) {
         let name = self.entries[entry].name.clone();
-        self.agents[agent].1.ask(&name, ask, self.now);
+        self.agents[agent].1.set_demand(&name, ask, self.now);
         self.poll_agent(agent);
     }
 
@@ -389,7 +394,7 @@
                 let name = self.agents[agent].0.clone();
                 if is_out {
                     let entry_name = self.entries[entry].name.clone();
-                    self.agents[agent].1.lose(&entry_name);
+                    self.agents[agent].1.disconnect(&entry_name);
                     self.lose(entry, &name);
                 } else {
                     self.entries[entry].add(&name, self.shape.slots);
@@ -462,7 +467,7 @@
                 }
             }
         }
-        if let Some(wake) = self.agents[agent].1.wake() {
+        if let Some(wake) = self.agents[agent].1.next_poll() {
             let wake = wake.max(self.now + Duration::from_micros(100));
             let slot = self.shape.entries + agent;
             self.wake(wake, slot, Event::WakeAgent(agent));
--- a/crates/cassiarock-policy/tests/slot.rs
+++ b/crates/cassiarock-policy/tests/slot.rs
@@ -3,7 +3,7 @@
 use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::SlotDemand;
 use cassiarock_policy::place::{PlacedTask, TaskKey};
-use cassiarock_policy::slot::{Action, Pool, Setting, Verdict};
+use cassiarock_policy::slot::{Action, Setting, SlotScheduler, Verdict};
 use std::time::Duration;
 
 fn key(task: u16) -> TaskKey {
@@ -30,8 +30,8 @@
     }
 }
 
-fn full_pool() -> Pool {
-    let mut pool = Pool::new(Setting::new(8));
+fn full_pool() -> SlotScheduler {
+    let mut pool = SlotScheduler::new(Setting::new(8));
     let tasks: Vec<PlacedTask> = (0..8).map(placed).collect();
     let verdicts = pool.start(&entry("a"), &tasks, &SlotDemand::default(), ms(0));
     assert_eq!(verdicts, [Verdict::Run; 8]);
@@ -63,8 +63,8 @@
 #[test]
 fn the_next_slot_goes_to_the_work_that_is_due_first() {
     let mut pool = full_pool();
-    pool.ask(&entry("b"), &ask(1, 50), ms(1));
-    pool.ask(&entry("c"), &ask(1, 400), ms(1));
+    pool.set_demand(&entry("b"), &ask(1, 50), ms(1));
+    pool.set_demand(&entry("c"), &ask(1, 400), ms(1));
     assert_eq!(pool.finish(&key(0), ms(2)).load.credit, 0);
     let actions = pool.poll(ms(2));
     assert!(
@@ -76,8 +76,8 @@
 #[test]
 fn a_slot_rides_on_the_outcome_when_nobody_is_due_much_earlier() {
     let mut pool = full_pool();
-    pool.ask(&entry("a"), &ask(1, 100), ms(1));
-    pool.ask(&entry("b"), &ask(1, 110), ms(1));
+    pool.set_demand(&entry("a"), &ask(1, 100), ms(1));
+    pool.set_demand(&entry("b"), &ask(1, 110), ms(1));
     assert_eq!(pool.finish(&key(0), ms(2)).load.credit, 1);
     assert_eq!(pool.poll(ms(2)), []);
 }
@@ -87,9 +87,9 @@
 #[test]
 fn a_credit_that_is_not_used_expires_and_the_slot_is_open_again() {
     let mut pool = full_pool();
-    pool.ask(&entry("a"), &ask(1, 0), ms(1));
+    pool.set_demand(&entry("a"), &ask(1, 0), ms(1));
     assert_eq!(pool.finish(&key(0), ms(2)).load.credit, 1);
-    let wake = pool.wake().expect("an expiry is pending");
+    let wake = pool.next_poll().expect("an expiry is pending");
     pool.poll(wake);
     let verdicts = pool.start(&entry("b"), &[placed(9)], &SlotDemand::default(), wake);
     assert_eq!(verdicts, [Verdict::Run]);
