--- a/crates/cassiarock-entry/src/run.rs
+++ b/crates/cassiarock-entry/src/run.rs
@@ -206,11 +206,11 @@
     dispatch.place = dispatch
         .place
         .with_data_centre(settings.data_centre.clone());
-    dispatch.admit = dispatch
-        .admit
+    dispatch.admission = dispatch
+        .admission
         .with_tasks(policy.tasks)
         .with_patience(policy.patience);
-    dispatch.admit.jobs = policy.jobs;
+    dispatch.admission.jobs = policy.jobs;
     dispatch.health.withheld = policy.withheld_share;
     dispatch.retry.share = policy.retry_share;
     Setting {
--- a/crates/cassiarock-entry/src/state/calls.rs
+++ b/crates/cassiarock-entry/src/state/calls.rs
@@ -163,7 +163,7 @@
         now: Now,
     ) -> Option<Stop> {
         let offered = offered(submission, within);
-        match self.pool(pool).offer(&offered, now.up) {
+        match self.pool(pool).admit(&offered, now.up) {
             dispatch::Answer::Admit => None,
             dispatch::Answer::Refuse {
                 reason,
--- a/crates/cassiarock-entry/src/state/follow.rs
+++ b/crates/cassiarock-entry/src/state/follow.rs
@@ -195,7 +195,7 @@
     pub(crate) fn unlink_entry(&mut self, entry: &Process, now: Now) -> Vec<Action> {
         self.entries.remove(entry);
         for pool in self.pools.values_mut() {
-            pool.forget(entry);
+            pool.remove_entry(entry);
         }
         let works = self.works.iter().filter(|(_, work)| follows(work, entry));
         let jobs: Vec<Job> = works.map(|(job, _)| *job).collect();
--- a/crates/cassiarock-entry/src/state/teams.rs
+++ b/crates/cassiarock-entry/src/state/teams.rs
@@ -3,7 +3,7 @@
 use super::work::Stop;
 use super::{Action, JUDGE_EVERY, State, TELL_EVERY};
 use cassiarock_id::{Job, Name, Process};
-use cassiarock_policy::admit::{Share, Usage};
+use cassiarock_policy::admission::{Share, Usage};
 use cassiarock_process::Now;
 use cassiarock_rule::Configuration;
 use cassiarock_rule::request::Loads;
@@ -52,7 +52,7 @@
         now: Now,
     ) -> Vec<Action> {
         for (pool, usages) in news {
-            self.pool(pool).hear(entry, usages, now.up);
+            self.pool(pool).apply_usage(entry, usages, now.up);
         }
         Vec::new()
     }
@@ -64,7 +64,7 @@
         }
         self.told = now.up + TELL_EVERY;
         let pools = self.pools.iter_mut();
-        let news = pools.map(|(name, pool)| (name.clone(), pool.news()));
+        let news = pools.map(|(name, pool)| (name.clone(), pool.usage_updates()));
         let news: Vec<_> = news.filter(|(_, usages)| !usages.is_empty()).collect();
         if news.is_empty() {
             return Vec::new();
@@ -89,7 +89,7 @@
         let hopeless: Vec<Job> = self
             .pools
             .values()
-            .flat_map(|pool| pool.hopeless(now.up))
+            .flat_map(|pool| pool.infeasible_jobs(now.up))
             .collect();
         let mut actions = Vec::new();
         for job in hopeless {
--- a/crates/cassiarock-policy/src/admit/gate.rs
+++ b/crates/cassiarock-policy/src/admission/controller.rs
@@ -1,7 +1,7 @@
 //! Admission of jobs at one entry.
 
 use super::backlog::Backlog;
-use super::offer::{Answer, Offer, Reason};
+use super::request::{AdmissionRequest, Answer, Reason};
 use super::setting::Setting;
 use super::spread::Spread;
 use super::team::{Share, Teams, Usage};
@@ -29,16 +29,16 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Name, Wall};
-/// use cassiarock_policy::admit::{Answer, Gate, Offer, Setting};
+/// use cassiarock_policy::admission::{Answer, AdmissionController, AdmissionRequest, Setting};
 /// use std::time::Duration;
-/// let mut gate = Gate::new(Setting::default(), 1);
+/// let mut gate = AdmissionController::new(Setting::default(), 1);
 /// gate.set_slots(88);
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
-/// let offer = Offer::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
-/// assert!(matches!(gate.offer(&offer, Duration::ZERO), Answer::Admit(_)));
+/// let offer = AdmissionRequest::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
+/// assert!(matches!(gate.admit(&offer, Duration::ZERO), Answer::Admit(_)));
 /// ```
 #[derive(Debug)]
-pub struct Gate {
+pub struct AdmissionController {
     setting: Setting,
     slots: f64,
     /// Whether no upstream can be reached.
@@ -50,7 +50,7 @@
     spread: Spread,
 }
 
-impl Gate {
+impl AdmissionController {
     /// A gate without a pool; it admits until it knows one.
     #[must_use]
     pub fn new(setting: Setting, seed: u64) -> Self {
@@ -83,7 +83,7 @@
     }
 
     /// Decides on a job.
-    pub fn offer(&mut self, offer: &Offer, now: Duration) -> Answer {
+    pub fn admit(&mut self, offer: &AdmissionRequest, now: Duration) -> Answer {
         self.backlog.decay(!self.is_out, now);
         let work = offer.work.as_secs_f64();
         if let Some((reason, wait)) = self.objection(offer, work, now) {
@@ -129,7 +129,7 @@
     /// Admitted jobs that cannot end before their deadline even if all slots worked for
     /// them. What remains of them would be thrown away; drop it before it starts.
     #[must_use]
-    pub fn hopeless(&self, now: Duration) -> Vec<Job> {
+    pub fn infeasible_jobs(&self, now: Duration) -> Vec<Job> {
         let slots = self.slots.max(1.0);
         let hopeless = self.jobs.iter().filter(|(_, admitted)| {
             let left = admitted.each * admitted.tasks as f64 / slots;
@@ -142,18 +142,18 @@
     }
 
     /// What to tell the other entries about once a second: teams with new work.
-    pub fn news(&mut self) -> Vec<Usage> {
+    pub fn usage_updates(&mut self) -> Vec<Usage> {
         self.teams.news()
     }
 
     /// What another entry told.
-    pub fn hear(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
+    pub fn apply_usage(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
         let burst = self.setting.burst;
         self.teams.hear(entry, usages, self.slots, burst, now);
     }
 
     /// Another entry is gone.
-    pub fn forget(&mut self, entry: &Process) {
+    pub fn remove_entry(&mut self, entry: &Process) {
         self.teams.forget(entry);
     }
 
@@ -164,7 +164,12 @@
     }
 
     /// Why the job has to be refused, and for how many seconds that holds.
-    fn objection(&mut self, offer: &Offer, work: f64, now: Duration) -> Option<(Reason, f64)> {
+    fn objection(
+        &mut self,
+        offer: &AdmissionRequest,
+        work: f64,
+        now: Duration,
+    ) -> Option<(Reason, f64)> {
         let backlog = self.backlog.total() / self.backlog.service();
         if self.tasks + offer.tasks > self.setting.tasks || self.jobs.len() >= self.setting.jobs {
             return Some((Reason::Full, backlog / 2.0));
@@ -187,7 +192,7 @@
         (end > patience).then(|| (Reason::Late, (end - patience).min(backlog)))
     }
 
-    fn keep(&mut self, offer: &Offer, work: f64, now: Duration) {
+    fn keep(&mut self, offer: &AdmissionRequest, work: f64, now: Duration) {
         self.tasks += offer.tasks;
         self.backlog.add(work);
         let admitted = Admitted {
--- a/crates/cassiarock-policy/src/admit/mod.rs
+++ b/crates/cassiarock-policy/src/admission/mod.rs
@@ -1,13 +1,13 @@
 //! Whether a job is admitted, when it is due, and when a refused one may come again.
 
 mod backlog;
-mod gate;
-mod offer;
+mod controller;
+mod request;
 mod setting;
 mod spread;
 mod team;
 
-pub use gate::Gate;
-pub use offer::{Answer, Offer, Reason};
+pub use controller::AdmissionController;
+pub use request::{AdmissionRequest, Answer, Reason};
 pub use setting::Setting;
 pub use team::{Share, Usage};
--- a/crates/cassiarock-policy/src/admit/offer.rs
+++ b/crates/cassiarock-policy/src/admission/request.rs
@@ -8,14 +8,14 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Name, Wall};
-/// use cassiarock_policy::admit::Offer;
+/// use cassiarock_policy::admission::AdmissionRequest;
 /// use std::time::Duration;
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
-/// let offer = Offer::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
+/// let offer = AdmissionRequest::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
 /// assert_eq!(offer.within, None);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer {
+pub struct AdmissionRequest {
     /// The job.
     pub job: Job,
     /// Whose quota it uses.
@@ -28,7 +28,7 @@
     pub within: Option<Duration>,
 }
 
-impl Offer {
+impl AdmissionRequest {
     /// A job without a deadline.
     #[must_use]
     pub const fn new(job: Job, team: Name, tasks: usize, work: Duration) -> Self {
--- a/crates/cassiarock-policy/src/admit/setting.rs
+++ b/crates/cassiarock-policy/src/admission/setting.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-/// The bounds of a [`super::Gate`].
+/// The bounds of a [`super::AdmissionController`].
 ///
 /// ```
-/// use cassiarock_policy::admit::Setting;
+/// use cassiarock_policy::admission::Setting;
 /// let setting = Setting::default().with_tasks(1000);
 /// assert_eq!(setting.tasks, 1000);
 /// ```
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use super::setting::Setting;
 use super::submission::{Answer, End, Reason, Submission};
-use crate::admit::{self, Gate, Offer, Share, Usage};
+use crate::admission::{self, AdmissionController, AdmissionRequest, Share, Usage};
 use crate::health::{self, Monitor};
 use crate::load::LoadReport;
 use crate::place::{Action, Placer, TaskKey, Upstream};
@@ -41,14 +41,14 @@
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let job = Submission::new(id, Name::from("valley-3"), Name::from("seat-check"), 1);
 /// let now = Duration::ZERO;
-/// assert_eq!(dispatcher.offer(&job, now), Answer::Admit);
+/// assert_eq!(dispatcher.admit(&job, now), Answer::Admit);
 /// dispatcher.release(id, vec![Task(0)], None, now);
 /// assert!(matches!(&dispatcher.poll(now)[..], [Action::Start { .. }]));
 /// ```
 #[derive(Debug)]
 pub struct Dispatcher {
     placer: Placer,
-    gate: Gate,
+    gate: AdmissionController,
     monitor: Monitor,
     estimate: Estimator,
     budget: Budget,
@@ -63,7 +63,7 @@
     pub fn new(setting: Setting, seed: u64) -> Self {
         Self {
             placer: Placer::new(setting.place, seed),
-            gate: Gate::new(setting.admit, seed),
+            gate: AdmissionController::new(setting.admission, seed),
             monitor: Monitor::new(setting.health),
             estimate: Estimator::default(),
             budget: Budget::new(setting.retry, seed),
@@ -125,7 +125,7 @@
     }
 
     /// Decides whether to admit a job. Nothing of it is sent before it is released.
-    pub fn offer(&mut self, job: &Submission, now: Duration) -> Answer {
+    pub fn admit(&mut self, job: &Submission, now: Duration) -> Answer {
         let learned = self.estimate.need(&job.kind);
         if let Feasibility::Impossible(resource) = self.fit.check(&job.need, &learned) {
             return Answer::Refuse {
@@ -134,16 +134,16 @@
             };
         }
         let run = self.estimate.run_time(&job.kind, job.declared);
-        let offer = Offer {
+        let offer = AdmissionRequest {
             job: job.job,
             team: job.team.clone(),
             tasks: job.tasks,
             work: run.saturating_mul(u32::try_from(job.tasks).unwrap_or(u32::MAX)),
             within: job.within,
         };
-        match self.gate.offer(&offer, now) {
-            admit::Answer::Admit(due) => self.keep(job, due),
-            admit::Answer::Refuse {
+        match self.gate.admit(&offer, now) {
+            admission::Answer::Admit(due) => self.keep(job, due),
+            admission::Answer::Refuse {
                 reason,
                 retry_after,
             } => Answer::Refuse {
@@ -160,7 +160,7 @@
         let due = due.unwrap_or_else(|| Due::new(now, Duration::ZERO));
         let mut job = place::ReadyTasks::new(job, due, tasks);
         job.avoid = avoid;
-        self.placer.admit(job);
+        self.placer.enqueue(job);
     }
 
     /// A started task ended. `load` came with the frame, if any did.
@@ -236,8 +236,8 @@
     /// Admitted jobs that can no longer end before their deadline: fail them now, rather
     /// than use slots for them.
     #[must_use]
-    pub fn hopeless(&self, now: Duration) -> Vec<Job> {
-        self.gate.hopeless(now)
+    pub fn infeasible_jobs(&self, now: Duration) -> Vec<Job> {
+        self.gate.infeasible_jobs(now)
     }
 
     /// What to send now.
@@ -261,18 +261,18 @@
     }
 
     /// What to tell the other entries about once a second; empty if nothing is new.
-    pub fn news(&mut self) -> Vec<Usage> {
-        self.gate.news()
+    pub fn usage_updates(&mut self) -> Vec<Usage> {
+        self.gate.usage_updates()
     }
 
     /// What another entry told.
-    pub fn hear(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
-        self.gate.hear(entry, usages, now);
+    pub fn apply_usage(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
+        self.gate.apply_usage(entry, usages, now);
     }
 
     /// Another entry is gone.
-    pub fn forget(&mut self, entry: &Process) {
-        self.gate.forget(entry);
+    pub fn remove_entry(&mut self, entry: &Process) {
+        self.gate.remove_entry(entry);
     }
 
     /// The share of its slots that an upstream may have, 0 to 1.
--- a/crates/cassiarock-policy/src/dispatch/setting.rs
+++ b/crates/cassiarock-policy/src/dispatch/setting.rs
@@ -1,6 +1,6 @@
 //! The settings of a dispatcher.
 
-use crate::{Objective, PlacementPolicy, admit, health, place, retry};
+use crate::{Objective, PlacementPolicy, admission, health, place, retry};
 
 /// The settings of all decisions about one pool.
 ///
@@ -14,7 +14,7 @@
     /// Of placement.
     pub place: place::Setting,
     /// Of admission.
-    pub admit: admit::Setting,
+    pub admission: admission::Setting,
     /// Of fault detection.
     pub health: health::Setting,
     /// Of retries.
@@ -27,7 +27,7 @@
     pub fn new(kind: PlacementPolicy, weight: Objective) -> Self {
         Self {
             place: place::Setting::new(kind).with_objective(weight),
-            admit: admit::Setting::default(),
+            admission: admission::Setting::default(),
             health: health::Setting::default(),
             retry: retry::Setting::default(),
         }
--- a/crates/cassiarock-policy/src/dispatch/submission.rs
+++ b/crates/cassiarock-policy/src/dispatch/submission.rs
@@ -1,6 +1,6 @@
 //! What an entry submits to its dispatcher, and what it is told.
 
-use crate::admit;
+use crate::admission;
 use crate::size::{ResourceKind, Resources};
 use cassiarock_id::{Job, Name};
 use std::time::Duration;
@@ -87,7 +87,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
     /// Too much work for now.
-    Load(admit::Reason),
+    Load(admission::Reason),
     /// No upstream of the pool has enough of the resource.
     Impossible(ResourceKind),
 }
--- a/crates/cassiarock-policy/src/lib.rs
+++ b/crates/cassiarock-policy/src/lib.rs
@@ -3,7 +3,7 @@
 //! Pure logic: state and event in, actions out. Nothing here does I/O, reads a clock or
 //! starts a thread; `now` is the time since the process started and is an argument.
 
-pub mod admit;
+pub mod admission;
 pub mod dispatch;
 mod due;
 pub mod health;
--- a/crates/cassiarock-policy/src/place/placer.rs
+++ b/crates/cassiarock-policy/src/place/placer.rs
@@ -67,7 +67,7 @@
 /// placer.add(Upstream::new(Process::new("agent-1", 1), 8));
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let due = Due::new(Duration::ZERO, Duration::ZERO);
-/// placer.admit(place::ReadyTasks::new(id, due, vec![Task(0)]));
+/// placer.enqueue(place::ReadyTasks::new(id, due, vec![Task(0)]));
 /// let actions = placer.poll(Duration::ZERO);
 /// assert!(matches!(&actions[..], [Action::Start { tasks, .. }] if tasks.len() == 1));
 /// ```
@@ -153,7 +153,7 @@
     }
 
     /// Tasks may be started.
-    pub fn admit(&mut self, job: ReadyTasks) {
+    pub fn enqueue(&mut self, job: ReadyTasks) {
         self.queue.push(job);
     }
 
--- a/crates/cassiarock-policy/tests/admit.rs
+++ b/crates/cassiarock-policy/tests/admit.rs
@@ -1,7 +1,9 @@
 //! Admission, job by job.
 
 use cassiarock_id::{Job, Name, Process, Wall};
-use cassiarock_policy::admit::{Answer, Gate, Offer, Reason, Setting, Share};
+use cassiarock_policy::admission::{
+    AdmissionController, AdmissionRequest, Answer, Reason, Setting, Share,
+};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -9,8 +11,8 @@
     Duration::from_secs(seconds)
 }
 
-fn offer(bits: u64, team: &str, tasks: usize, work: Duration) -> Offer {
-    Offer::new(
+fn offer(bits: u64, team: &str, tasks: usize, work: Duration) -> AdmissionRequest {
+    AdmissionRequest::new(
         Job::with_bits(Wall::from_millis(1), bits),
         Name::from(team),
         tasks,
@@ -18,8 +20,8 @@
     )
 }
 
-fn gate(setting: Setting) -> Gate {
-    let mut gate = Gate::new(setting, 1);
+fn gate(setting: Setting) -> AdmissionController {
+    let mut gate = AdmissionController::new(setting, 1);
     gate.set_slots(88);
     gate
 }
@@ -35,32 +37,32 @@
 fn a_job_that_cannot_end_in_time_is_refused_when_it_arrives() {
     let mut gate = gate(Setting::default());
     let job = offer(1, "a", 860, secs(860)).with_deadline(secs(5));
-    assert_eq!(reason(gate.offer(&job, secs(1))), Some(Reason::Late));
+    assert_eq!(reason(gate.admit(&job, secs(1))), Some(Reason::Late));
     let job = offer(1, "a", 860, secs(860)).with_deadline(secs(30));
-    assert_eq!(reason(gate.offer(&job, secs(1))), None);
+    assert_eq!(reason(gate.admit(&job, secs(1))), None);
 }
 
 #[test]
 fn a_small_job_is_admitted_while_large_ones_wait() {
     let mut gate = gate(Setting::default());
     for bits in 0..3 {
-        gate.offer(&offer(bits, "a", 860, secs(600)), secs(1));
+        gate.admit(&offer(bits, "a", 860, secs(600)), secs(1));
     }
     let job = offer(9, "a", 1, Duration::from_millis(100)).with_deadline(secs(2));
-    assert_eq!(reason(gate.offer(&job, secs(1))), None);
+    assert_eq!(reason(gate.admit(&job, secs(1))), None);
 }
 
 #[test]
 fn the_bound_on_tasks_holds_and_ended_tasks_make_room() {
     let mut gate = gate(Setting::default().with_tasks(100));
     assert_eq!(
-        reason(gate.offer(&offer(1, "a", 100, secs(1)), secs(1))),
+        reason(gate.admit(&offer(1, "a", 100, secs(1)), secs(1))),
         None
     );
     let next = offer(2, "a", 1, secs(1));
-    assert_eq!(reason(gate.offer(&next, secs(1))), Some(Reason::Full));
+    assert_eq!(reason(gate.admit(&next, secs(1))), Some(Reason::Full));
     gate.finish(offer(1, "a", 0, secs(0)).job, 1);
-    assert_eq!(reason(gate.offer(&next, secs(1))), None);
+    assert_eq!(reason(gate.admit(&next, secs(1))), None);
     assert_eq!(gate.tasks(), 100);
 }
 
@@ -71,7 +73,7 @@
     let mut gate = gate(Setting::default().with_patience(secs(1)));
     let mut waits: Vec<Duration> = (0..200)
         .filter_map(
-            |bits| match gate.offer(&offer(bits, "a", 200, secs(200)), secs(1)) {
+            |bits| match gate.admit(&offer(bits, "a", 200, secs(200)), secs(1)) {
                 Answer::Refuse { retry_after, .. } => Some(retry_after),
                 Answer::Admit(_) => None,
             },
@@ -97,7 +99,7 @@
     let names: Vec<Process> = (0..3)
         .map(|i| Process::new(format!("entry-{i}"), 1))
         .collect();
-    let mut gates: Vec<Gate> = (0..3).map(|_| gate(Setting::default())).collect();
+    let mut gates: Vec<AdmissionController> = (0..3).map(|_| gate(Setting::default())).collect();
     let shares = HashMap::from([(Name::from("a"), share)]);
     gates
         .iter_mut()
@@ -107,16 +109,19 @@
         let now = Duration::from_millis(100 * tenth);
         for (index, gate) in gates.iter_mut().enumerate() {
             let job = offer(tenth * 3 + index as u64, "a", 10, secs(1));
-            if reason(gate.offer(&job, now)).is_none() {
+            if reason(gate.admit(&job, now)).is_none() {
                 admitted += 1;
                 gate.finish(job.job, 10);
             }
         }
         if tenth % 10 == 0 {
-            let news: Vec<_> = gates.iter_mut().map(Gate::news).collect();
+            let news: Vec<_> = gates
+                .iter_mut()
+                .map(AdmissionController::usage_updates)
+                .collect();
             for (index, gate) in gates.iter_mut().enumerate() {
                 for other in (0..3).filter(|other| *other != index) {
-                    gate.hear(&names[other], &news[other], now);
+                    gate.apply_usage(&names[other], &news[other], now);
                 }
             }
         }
@@ -129,9 +134,9 @@
 fn a_job_whose_deadline_is_out_of_reach_is_named() {
     let mut gate = gate(Setting::default());
     let job = offer(1, "a", 860, secs(860)).with_deadline(secs(30));
-    gate.offer(&job, secs(1));
-    assert!(gate.hopeless(secs(10)).is_empty());
-    assert_eq!(gate.hopeless(secs(25)), [job.job]);
+    gate.admit(&job, secs(1));
+    assert!(gate.infeasible_jobs(secs(10)).is_empty());
+    assert_eq!(gate.infeasible_jobs(secs(25)), [job.job]);
     gate.drop_job(job.job);
-    assert!(gate.hopeless(secs(25)).is_empty());
+    assert!(gate.infeasible_jobs(secs(25)).is_empty());
 }
--- a/crates/cassiarock-policy/tests/cost.rs
+++ b/crates/cassiarock-policy/tests/cost.rs
@@ -42,7 +42,7 @@
         let id = Job::with_bits(Wall::from_millis(1), self.next);
         let now = Duration::from_micros(self.next);
         let due = Due::new(now, Duration::from_millis(100));
-        self.placer.admit(ReadyTasks::new(id, due, vec![Task(0)]));
+        self.placer.enqueue(ReadyTasks::new(id, due, vec![Task(0)]));
         let begin = Instant::now();
         let actions = self.placer.poll(now);
         self.placing += begin.elapsed();
--- a/crates/cassiarock-policy/tests/model/entry.rs
+++ b/crates/cassiarock-policy/tests/model/entry.rs
@@ -43,7 +43,7 @@
         let submission = Submission::new(id(index), team, kind, tasks)
             .with_declared(job.declared)
             .with_deadline(job.within);
-        let answer = self.dispatcher.offer(&submission, now);
+        let answer = self.dispatcher.admit(&submission, now);
         if answer == Answer::Admit {
             let tasks = (0..tasks).map(|task| Task(task as u16)).collect();
             self.dispatcher.release(id(index), tasks, None, now);
--- a/crates/cassiarock-policy/tests/model/world.rs
+++ b/crates/cassiarock-policy/tests/model/world.rs
@@ -412,13 +412,15 @@
 
     fn tick(&mut self) {
         for entry in 0..self.entries.len() {
-            for job in self.entries[entry].dispatcher.hopeless(self.now) {
+            for job in self.entries[entry].dispatcher.infeasible_jobs(self.now) {
                 self.abandon(index(job), End::Failed);
             }
-            let news = self.entries[entry].dispatcher.news();
+            let news = self.entries[entry].dispatcher.usage_updates();
             let name = self.entries[entry].name.clone();
             for other in (0..self.entries.len()).filter(|other| *other != entry) {
-                self.entries[other].dispatcher.hear(&name, &news, self.now);
+                self.entries[other]
+                    .dispatcher
+                    .apply_usage(&name, &news, self.now);
             }
             self.poll_entry(entry);
         }
--- a/crates/cassiarock-policy/tests/place.rs
+++ b/crates/cassiarock-policy/tests/place.rs
@@ -45,14 +45,14 @@
 )]
 fn tasks_start_at_once_on_an_idle_pool(kind: PlacementPolicy) {
     let mut placer = placer(kind, 11);
-    placer.admit(job(1, 60));
+    placer.enqueue(job(1, 60));
     assert_eq!(count(&placer.poll(Duration::ZERO)), 60);
 }
 
 #[test]
 fn no_upstream_gets_more_tasks_than_it_has_free_slots() {
     let mut placer = placer(PlacementPolicy::Credits, 11);
-    placer.admit(job(1, 88));
+    placer.enqueue(job(1, 88));
     let actions = placer.poll(Duration::ZERO);
     assert_eq!(started(&actions).len(), 11);
     assert!(started(&actions).iter().all(|(_, tasks)| tasks.len() == 8));
@@ -62,7 +62,7 @@
 fn a_leaving_upstream_gets_no_task() {
     let mut placer = placer(PlacementPolicy::Credits, 2);
     placer.leave(&agent(0));
-    placer.admit(job(1, 16));
+    placer.enqueue(job(1, 16));
     let starts = started(&placer.poll(Duration::ZERO));
     assert!(starts.iter().all(|(to, _)| *to == agent(1)), "{starts:?}");
 }
@@ -70,7 +70,7 @@
 #[test]
 fn the_keeper_of_a_job_gets_none_of_its_tasks() {
     let mut placer = placer(PlacementPolicy::Credits, 2);
-    placer.admit(job(1, 8).with_avoid(agent(1)));
+    placer.enqueue(job(1, 8).with_avoid(agent(1)));
     let starts = started(&placer.poll(Duration::ZERO));
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].0, agent(0));
@@ -79,7 +79,7 @@
 #[test]
 fn a_rejected_task_starts_elsewhere() {
     let mut placer = placer(PlacementPolicy::Credits, 2);
-    placer.admit(job(1, 1));
+    placer.enqueue(job(1, 1));
     let (first, tasks) = started(&placer.poll(Duration::ZERO)).remove(0);
     let full = LoadReport {
         seen: 1,
@@ -94,7 +94,7 @@
 #[test]
 fn a_cancelled_job_sends_no_further_start() {
     let mut placer = placer(PlacementPolicy::Credits, 1);
-    placer.admit(job(1, 20));
+    placer.enqueue(job(1, 20));
     // Eight run and four wait ahead at the agent, which has to cancel those.
     assert_eq!(count(&placer.poll(Duration::ZERO)), 12);
     assert_eq!(placer.cancel(job(1, 20).id).len(), 8);
@@ -111,7 +111,7 @@
 #[test]
 fn the_tasks_of_a_lost_upstream_are_named_once() {
     let mut placer = placer(PlacementPolicy::Credits, 1);
-    placer.admit(job(1, 3));
+    placer.enqueue(job(1, 3));
     placer.poll(Duration::ZERO);
     assert_eq!(placer.lose(&agent(0)).len(), 3);
     assert_eq!(placer.lose(&agent(0)), []);
--- a/crates/cassiarock-wire/src/frame.rs
+++ b/crates/cassiarock-wire/src/frame.rs
@@ -6,7 +6,7 @@
 use cassiarock_claim::Ballot;
 use cassiarock_claim::message::{Ask, Cancel, Fence};
 use cassiarock_id::{Job, Name, Process};
-use cassiarock_policy::admit::Usage;
+use cassiarock_policy::admission::Usage;
 use cassiarock_policy::load::{LoadReport, SlotDemand};
 use cassiarock_rule::State;
 use cassiarock_transient::Message;
