--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -29,7 +29,7 @@
         let pool = self.pool(&pool);
         pool.add(upstream, has);
         if leaving {
-            pool.leave(agent);
+            pool.start_leaving(agent);
         }
         self.step_all(&Event::Back(agent.clone()), now)
     }
@@ -38,7 +38,7 @@
     /// agent answers again, or is known to have ended.
     pub(crate) fn unlink_agent(&mut self, agent: &Process, now: Now) -> Vec<Action> {
         if let Some(pool) = self.pool_of(agent) {
-            pool.lose(agent);
+            pool.disconnect(agent);
         }
         self.agents.remove(agent);
         self.note_silent(now);
@@ -59,14 +59,14 @@
 
     pub(super) fn agent_leaves(&mut self, agent: &Process) {
         if let Some(pool) = self.pool_of(agent) {
-            pool.leave(agent);
+            pool.start_leaving(agent);
         }
     }
 
     /// An agent is to stay after all; what runs there goes on.
     pub(super) fn agent_stays(&mut self, agent: &Process) {
         if let Some(pool) = self.pool_of(agent) {
-            pool.stay(agent);
+            pool.cancel_leaving(agent);
         }
     }
 
--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/guarded.rs
@@ -130,7 +130,7 @@
     ) -> Vec<Action> {
         let key = TaskKey::new(rejected.job, rejected.task);
         if let Some(pool) = self.pool_of(agent) {
-            pool.refuse(agent, &key, rejected.load, now.up);
+            pool.reject(agent, &key, rejected.load, now.up);
         }
         let Some(work) = self.works.get(&rejected.job) else {
             return Vec::new();
--- a/crates/cassiarock-entry/src/state/mod.rs
+++ b/crates/cassiarock-entry/src/state/mod.rs
@@ -163,7 +163,7 @@
 
     /// When `poll` has to be called at the latest.
     pub(crate) fn wake(&self) -> Option<Duration> {
-        let placers = self.pools.values().filter_map(Dispatcher::wake);
+        let placers = self.pools.values().filter_map(Dispatcher::next_poll);
         let work = self.wakes.first().map(|(at, _)| *at);
         let retry = self.retries.first().map(|(at, _, _)| *at);
         placers.chain(work).chain(retry).min()
@@ -186,7 +186,7 @@
     /// Jobs without an answer, tasks that wait, tasks that are placed.
     pub(crate) fn load(&self) -> (usize, usize, usize) {
         let waiting = self.pools.values().map(Dispatcher::waiting).sum();
-        let placed = self.pools.values().map(Dispatcher::placed).sum();
+        let placed = self.pools.values().map(Dispatcher::outstanding).sum();
         (self.works.len(), waiting, placed)
     }
 
--- a/crates/cassiarock-entry/src/state/place.rs
+++ b/crates/cassiarock-entry/src/state/place.rs
@@ -54,7 +54,7 @@
                 // The owner does not allow this agent: try another one.
                 None => {
                     let wanted = self.works.contains_key(&key.job);
-                    self.pool(pool).bounce(agent, &key, wanted);
+                    self.pool(pool).undo_start(agent, &key, wanted);
                 }
             }
         }
--- a/crates/cassiarock-entry/src/state/teams.rs
+++ b/crates/cassiarock-entry/src/state/teams.rs
@@ -84,7 +84,7 @@
         self.judged = now.up + JUDGE_EVERY;
         let loads = self.pools.iter();
         self.loads = loads.fold(Loads::default(), |loads, (name, pool)| {
-            loads.with_pool(name.clone(), pool.load())
+            loads.with_pool(name.clone(), pool.load_percent())
         });
         let hopeless: Vec<Job> = self
             .pools
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -25,7 +25,7 @@
 ///
 /// It joins admission, placement, learned sizes, fault detection and the retry budget,
 /// so that an entry reports each event once. Call [`Self::poll`] after each batch of
-/// events and at [`Self::wake`].
+/// events and at [`Self::next_poll`].
 ///
 /// ```
 /// use cassiarock_id::{Job, Name, Process, Task, Wall};
@@ -81,39 +81,39 @@
         self.fit.add(agent.clone(), has);
         self.monitor.add(agent.clone());
         self.placer.add(upstream);
-        self.placer.limit(&agent, self.monitor.share(&agent));
+        self.placer.set_share(&agent, self.monitor.share(&agent));
     }
 
     /// An upstream is leaving: it gets no further task.
-    pub fn leave(&mut self, agent: &Process) {
-        self.placer.leave(agent);
+    pub fn start_leaving(&mut self, agent: &Process) {
+        self.placer.start_leaving(agent);
         self.slots.remove(agent);
         self.count_slots();
     }
 
     /// A leaving upstream stays after all.
-    pub fn stay(&mut self, agent: &Process) {
-        if let Some(slots) = self.placer.stay(agent) {
+    pub fn cancel_leaving(&mut self, agent: &Process) {
+        if let Some(slots) = self.placer.cancel_leaving(agent) {
             self.slots.insert(agent.clone(), slots);
             self.count_slots();
         }
     }
 
-    /// The share of the pool's slots that is in use, in percent; see [`Placer::load`].
+    /// The share of the pool's slots that is in use, in percent; see [`Placer::load_percent`].
     #[must_use]
-    pub fn load(&self) -> u32 {
-        self.placer.load()
+    pub fn load_percent(&self) -> u32 {
+        self.placer.load_percent()
     }
 
     /// The connection to an upstream is gone. Returns the tasks that may have started
     /// there. What was learned of it is kept for its return.
-    pub fn lose(&mut self, agent: &Process) -> Vec<TaskKey> {
+    pub fn disconnect(&mut self, agent: &Process) -> Vec<TaskKey> {
         self.slots.remove(agent);
         self.count_slots();
-        self.placer.lose(agent)
+        self.placer.disconnect(agent)
     }
 
-    /// An upstream is gone for good, after [`Self::lose`].
+    /// An upstream is gone for good, after [`Self::disconnect`].
     pub fn remove(&mut self, agent: &Process) {
         self.monitor.remove(agent);
         self.fit.remove(agent);
@@ -191,8 +191,8 @@
     }
 
     /// An agent proved that it has not started the task and will not; see
-    /// [`Placer::reject`].
-    pub fn reject(
+    /// [`Placer::requeue`].
+    pub fn requeue(
         &mut self,
         agent: &Process,
         key: &TaskKey,
@@ -200,12 +200,12 @@
         load: LoadReport,
         now: Duration,
     ) {
-        self.placer.reject(agent, key, elsewhere, load, now);
+        self.placer.requeue(agent, key, elsewhere, load, now);
     }
 
     /// An agent proved that it has not started the task and will not, and the job's owner
     /// decides whether it is released again.
-    pub fn refuse(&mut self, agent: &Process, key: &TaskKey, load: LoadReport, now: Duration) {
+    pub fn reject(&mut self, agent: &Process, key: &TaskKey, load: LoadReport, now: Duration) {
         self.placer.end(agent, key, Some(load), now);
     }
 
@@ -215,9 +215,9 @@
         self.placer.cancel(job)
     }
 
-    /// A task of a start action was not sent after all; see [`Placer::bounce`].
-    pub fn bounce(&mut self, agent: &Process, key: &TaskKey, wanted: bool) {
-        self.placer.bounce(agent, key, wanted);
+    /// A task of a start action was not sent after all; see [`Placer::undo_start`].
+    pub fn undo_start(&mut self, agent: &Process, key: &TaskKey, wanted: bool) {
+        self.placer.undo_start(agent, key, wanted);
     }
 
     /// A grant frame came.
@@ -244,7 +244,7 @@
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
         if now >= self.monitor.wake() {
             for (agent, share) in self.monitor.tick(now) {
-                self.placer.limit(&agent, share);
+                self.placer.set_share(&agent, share);
             }
         }
         self.placer.poll(now)
@@ -252,12 +252,16 @@
 
     /// When [`Self::poll`] has to be called at the latest, if no event comes before.
     #[must_use]
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_poll(&self) -> Option<Duration> {
         if self.slots.is_empty() {
-            return self.placer.wake();
+            return self.placer.next_poll();
         }
         let judge = self.monitor.wake();
-        Some(self.placer.wake().map_or(judge, |wake| wake.min(judge)))
+        Some(
+            self.placer
+                .next_poll()
+                .map_or(judge, |wake| wake.min(judge)),
+        )
     }
 
     /// What to tell the other entries about once a second; empty if nothing is new.
@@ -289,8 +293,8 @@
 
     /// How many tasks are at upstreams.
     #[must_use]
-    pub fn placed(&self) -> usize {
-        self.placer.placed()
+    pub fn outstanding(&self) -> usize {
+        self.placer.outstanding()
     }
 
     fn keep(&mut self, job: &Submission, due: Due) -> Answer {
--- a/crates/cassiarock-policy/src/place/placer.rs
+++ b/crates/cassiarock-policy/src/place/placer.rs
@@ -99,14 +99,14 @@
     }
 
     /// An upstream is leaving: it gets no further task.
-    pub fn leave(&mut self, agent: &Process) {
+    pub fn start_leaving(&mut self, agent: &Process) {
         if let Some(index) = self.pool.index(agent) {
             self.pool.change(index, |view| view.leaving = true);
         }
     }
 
     /// A leaving upstream stays after all; its slots, if it is known.
-    pub fn stay(&mut self, agent: &Process) -> Option<u16> {
+    pub fn cancel_leaving(&mut self, agent: &Process) -> Option<u16> {
         let index = self.pool.index(agent)?;
         self.pool.change(index, |view| {
             view.leaving = false;
@@ -117,7 +117,7 @@
     /// The share of the upstreams' slots that is in use, in percent, by the loads last
     /// heard. A pass over all upstreams.
     #[must_use]
-    pub fn load(&self) -> u32 {
+    pub fn load_percent(&self) -> u32 {
         let (slots, open) = self.pool.count_slots();
         let used = slots.saturating_sub(open);
         u32::try_from(used * 100 / slots.max(1)).unwrap_or(100)
@@ -125,7 +125,7 @@
 
     /// An upstream or the connection to it is gone. Returns the tasks that may have
     /// started there; they are no longer the placer's.
-    pub fn lose(&mut self, agent: &Process) -> Vec<TaskKey> {
+    pub fn disconnect(&mut self, agent: &Process) -> Vec<TaskKey> {
         let Some(index) = self.pool.index(agent) else {
             return Vec::new();
         };
@@ -145,7 +145,7 @@
 
     /// Lets an upstream have only `share` of its slots, 0 to 1, see
     /// [`crate::place`]; 0 stops new tasks.
-    pub fn limit(&mut self, agent: &Process, share: f64) {
+    pub fn set_share(&mut self, agent: &Process, share: f64) {
         let weight = (share.clamp(0.0, 1.0) * f64::from(FULL_WEIGHT)).ceil();
         if let Some(index) = self.pool.index(agent) {
             self.pool.change(index, |view| view.weight = weight as u16);
@@ -168,7 +168,7 @@
 
     /// A task of a start action was not sent after all: the claim forbids this agent. It
     /// waits again, if `wanted`, for another one.
-    pub fn bounce(&mut self, agent: &Process, key: &TaskKey, wanted: bool) {
+    pub fn undo_start(&mut self, agent: &Process, key: &TaskKey, wanted: bool) {
         let Some(flight) = self.land(key) else {
             return;
         };
@@ -183,7 +183,7 @@
 
     /// An agent proved that it has not started the task and will not: the task waits
     /// again. `elsewhere` says that the agent must not be asked again for this job.
-    pub fn reject(
+    pub fn requeue(
         &mut self,
         agent: &Process,
         key: &TaskKey,
@@ -219,7 +219,7 @@
     }
 
     /// What to send now. Call after every event, or after a batch of them, and at
-    /// [`Self::wake`].
+    /// [`Self::next_poll`].
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
         self.polled_at = now;
         self.pool.expire_credits(now);
@@ -246,7 +246,7 @@
 
     /// When [`Self::poll`] has to be called at the latest, if no event comes before.
     #[must_use]
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_poll(&self) -> Option<Duration> {
         if self.queue.len() == 0 {
             return None;
         }
@@ -265,7 +265,7 @@
 
     /// How many tasks are at upstreams.
     #[must_use]
-    pub fn placed(&self) -> usize {
+    pub fn outstanding(&self) -> usize {
         self.flights.len()
     }
 
--- a/crates/cassiarock-policy/tests/model/world.rs
+++ b/crates/cassiarock-policy/tests/model/world.rs
@@ -248,7 +248,7 @@
             Event::Reject(entry, agent, key, load) => {
                 let name = &self.agents[agent].0;
                 let dispatcher = &mut self.entries[entry].dispatcher;
-                dispatcher.reject(name, &key, false, load, self.now);
+                dispatcher.requeue(name, &key, false, load, self.now);
                 self.poll_entry(entry);
             }
             Event::Grant(entry, agent, load) => {
@@ -405,7 +405,7 @@
     }
 
     fn lose(&mut self, entry: usize, agent: &Process) {
-        for key in self.entries[entry].dispatcher.lose(agent) {
+        for key in self.entries[entry].dispatcher.disconnect(agent) {
             self.abandon(index(key.job), End::Failed);
         }
     }
@@ -452,7 +452,7 @@
                 }
             }
         }
-        if let Some(wake) = self.entries[entry].dispatcher.wake() {
+        if let Some(wake) = self.entries[entry].dispatcher.next_poll() {
             let wake = wake.max(self.now + Duration::from_millis(1));
             self.wake(wake, entry, Event::WakeEntry(entry));
         }
--- a/crates/cassiarock-policy/tests/place.rs
+++ b/crates/cassiarock-policy/tests/place.rs
@@ -61,7 +61,7 @@
 #[test]
 fn a_leaving_upstream_gets_no_task() {
     let mut placer = placer(PlacementPolicy::Credits, 2);
-    placer.leave(&agent(0));
+    placer.start_leaving(&agent(0));
     placer.enqueue(job(1, 16));
     let starts = started(&placer.poll(Duration::ZERO));
     assert!(starts.iter().all(|(to, _)| *to == agent(1)), "{starts:?}");
@@ -85,7 +85,7 @@
         seen: 1,
         ..LoadReport::default()
     };
-    placer.reject(&first, &tasks[0].key, false, full, Duration::from_millis(1));
+    placer.requeue(&first, &tasks[0].key, false, full, Duration::from_millis(1));
     let starts = started(&placer.poll(Duration::from_millis(1)));
     assert_eq!(starts.len(), 1);
     assert_ne!(starts[0].0, first);
@@ -113,6 +113,6 @@
     let mut placer = placer(PlacementPolicy::Credits, 1);
     placer.enqueue(job(1, 3));
     placer.poll(Duration::ZERO);
-    assert_eq!(placer.lose(&agent(0)).len(), 3);
-    assert_eq!(placer.lose(&agent(0)), []);
+    assert_eq!(placer.disconnect(&agent(0)).len(), 3);
+    assert_eq!(placer.disconnect(&agent(0)), []);
 }
