--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/guarded.rs
@@ -5,7 +5,7 @@
 use cassiarock_claim::message::{Ask, Outcome, Start};
 use cassiarock_claim::owner::{self, Event};
 use cassiarock_id::{Job, Process, Task};
-use cassiarock_policy::dispatch::End;
+use cassiarock_policy::dispatch;
 use cassiarock_policy::place::TaskKey;
 use cassiarock_process::Now;
 use cassiarock_wire::{Answered, Ended, Frame, Item, Rejected, Reported, Run};
@@ -250,11 +250,11 @@
     }
 }
 
-fn end(ended: &Ended) -> End {
+fn end(ended: &Ended) -> dispatch::Outcome {
     match &ended.outcome {
-        Outcome::Done(_) => End::Done(Duration::from_millis(ended.ran_ms)),
-        Outcome::Failed(_) => End::Failed,
-        Outcome::Lost(_) => End::Lost,
+        Outcome::Done(_) => dispatch::Outcome::Done(Duration::from_millis(ended.ran_ms)),
+        Outcome::Failed(_) => dispatch::Outcome::Failed,
+        Outcome::Lost(_) => dispatch::Outcome::Lost,
     }
 }
 
--- a/crates/cassiarock-entry/src/state/repeat.rs
+++ b/crates/cassiarock-entry/src/state/repeat.rs
@@ -6,7 +6,7 @@
 use cassiarock_claim::message::{Cancel, Outcome};
 use cassiarock_claim::owner::{End, Reason};
 use cassiarock_id::{Job, Process, Task};
-use cassiarock_policy::retry::Proof;
+use cassiarock_policy::retry::RetrySafety;
 use cassiarock_process::Now;
 use cassiarock_wire::{Frame, Rejected};
 use std::collections::BTreeMap;
@@ -135,7 +135,7 @@
             return false;
         }
         let pool = work.pool.clone();
-        let Some(wait) = self.pool(&pool).retry(Proof::Repeatable, tries) else {
+        let Some(wait) = self.pool(&pool).retry(RetrySafety::Idempotent, tries) else {
             return false;
         };
         metrics::counter!("cassiarock_entry_retries_total").increment(1);
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -1,12 +1,12 @@
 //! The dispatcher of one pool.
 
 use super::setting::Setting;
-use super::submission::{Answer, End, Reason, Submission};
+use super::submission::{Answer, Outcome, Reason, Submission};
 use crate::admission::{self, AdmissionController, AdmissionRequest, Share, Usage};
 use crate::health::{self, Monitor};
 use crate::load::LoadReport;
 use crate::place::{Action, Placer, TaskKey, Upstream};
-use crate::retry::{Budget, Proof};
+use crate::retry::{Budget, RetrySafety};
 use crate::size::{Capacities, Estimator, Feasibility, Resources};
 use crate::{Due, place};
 use cassiarock_id::{Job, Name, Process, Task};
@@ -168,26 +168,26 @@
         &mut self,
         agent: &Process,
         key: &TaskKey,
-        end: End,
+        end: Outcome,
         load: Option<LoadReport>,
         now: Duration,
     ) {
         self.placer.end(agent, key, load, now);
         let end = match end {
-            End::Done(ran) => self.learn(key.job, ran),
-            End::Failed => health::End::Failed,
-            End::Lost => health::End::Lost,
+            Outcome::Done(ran) => self.learn(key.job, ran),
+            Outcome::Failed => health::Outcome::Failed,
+            Outcome::Lost => health::Outcome::Lost,
         };
-        self.monitor.end(agent, end);
-        if matches!(end, health::End::Done { .. }) {
-            self.budget.succeed();
+        self.monitor.record(agent, end);
+        if matches!(end, health::Outcome::Done { .. }) {
+            self.budget.record_success();
             self.gate.finish(key.job, 1);
         }
     }
 
     /// How long to wait before a task is released again; `None` if it must not be.
-    pub fn retry(&mut self, proof: Proof, retry: u32) -> Option<Duration> {
-        self.budget.take(proof, retry)
+    pub fn retry(&mut self, safety: RetrySafety, retry: u32) -> Option<Duration> {
+        self.budget.take(safety, retry)
     }
 
     /// An agent proved that it has not started the task and will not; see
@@ -242,8 +242,8 @@
 
     /// What to send now.
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
-        if now >= self.monitor.wake() {
-            for (agent, share) in self.monitor.tick(now) {
+        if now >= self.monitor.next_evaluation() {
+            for (agent, share) in self.monitor.evaluate(now) {
                 self.placer.set_share(&agent, share);
             }
         }
@@ -256,7 +256,7 @@
         if self.slots.is_empty() {
             return self.placer.next_poll();
         }
-        let judge = self.monitor.wake();
+        let judge = self.monitor.next_evaluation();
         Some(
             self.placer
                 .next_poll()
@@ -307,13 +307,13 @@
         Answer::Admit
     }
 
-    fn learn(&mut self, job: Job, ran: Duration) -> health::End {
+    fn learn(&mut self, job: Job, ran: Duration) -> health::Outcome {
         let Some(job) = self.jobs.get(&job) else {
-            return health::End::Done { slowness: 1.0 };
+            return health::Outcome::Done { slowness: 1.0 };
         };
         let slowness = self.estimate.slowness(&job.kind, job.declared, ran);
         self.estimate.learn(&job.kind, job.declared, ran);
-        health::End::Done { slowness }
+        health::Outcome::Done { slowness }
     }
 
     fn count_slots(&mut self) {
--- a/crates/cassiarock-policy/src/dispatch/mod.rs
+++ b/crates/cassiarock-policy/src/dispatch/mod.rs
@@ -6,4 +6,4 @@
 
 pub use dispatcher::Dispatcher;
 pub use setting::Setting;
-pub use submission::{Answer, End, Reason, Submission};
+pub use submission::{Answer, Outcome, Reason, Submission};
--- a/crates/cassiarock-policy/src/dispatch/submission.rs
+++ b/crates/cassiarock-policy/src/dispatch/submission.rs
@@ -105,7 +105,7 @@
 
 /// How a started task ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum Outcome {
     /// It succeeded after this run time at the worker.
     Done(Duration),
     /// The worker failed it.
--- a/crates/cassiarock-policy/src/health/mod.rs
+++ b/crates/cassiarock-policy/src/health/mod.rs
@@ -5,5 +5,5 @@
 mod setting;
 
 pub use monitor::Monitor;
-pub use record::End;
+pub use record::Outcome;
 pub use setting::Setting;
--- a/crates/cassiarock-policy/src/health/monitor.rs
+++ b/crates/cassiarock-policy/src/health/monitor.rs
@@ -1,7 +1,7 @@
 //! The judgement of upstreams by their outcomes.
 
 use super::Setting;
-use super::record::{End, Record};
+use super::record::{Outcome, Record};
 use cassiarock_id::Process;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 ///
 /// ```
 /// use cassiarock_id::Process;
-/// use cassiarock_policy::health::{End, Monitor, Setting};
+/// use cassiarock_policy::health::{Outcome, Monitor, Setting};
 /// use std::time::Duration;
 /// let mut monitor = Monitor::new(Setting::default());
 /// for index in 0..11 {
@@ -38,9 +38,9 @@
 /// }
 /// let faulty = Process::new("agent-3", 1);
 /// for _ in 0..20 {
-///     monitor.end(&faulty, End::Failed);
+///     monitor.record(&faulty, Outcome::Failed);
 /// }
-/// let changes = monitor.tick(Duration::from_secs(1));
+/// let changes = monitor.evaluate(Duration::from_secs(1));
 /// assert_eq!(changes, [(faulty, 0.0)]);
 /// ```
 #[derive(Debug)]
@@ -75,7 +75,7 @@
     }
 
     /// A task ended at `agent`. Rejects are no ends.
-    pub fn end(&mut self, agent: &Process, end: End) {
+    pub fn record(&mut self, agent: &Process, end: Outcome) {
         if let Some(record) = self.records.get_mut(agent) {
             record.add(end);
             self.is_urgent |= record.streak == STREAK;
@@ -88,10 +88,10 @@
         self.records.get(agent).map_or(1.0, |record| record.share)
     }
 
-    /// When [`Self::tick`] has to be called next; at once if an upstream fails one task
+    /// When [`Self::evaluate`] has to be called next; at once if an upstream fails one task
     /// after the other.
     #[must_use]
-    pub fn wake(&self) -> Duration {
+    pub fn next_evaluation(&self) -> Duration {
         if self.is_urgent {
             return Duration::ZERO;
         }
@@ -100,7 +100,7 @@
     }
 
     /// Judges all upstreams; returns the shares that changed.
-    pub fn tick(&mut self, now: Duration) -> Vec<(Process, f64)> {
+    pub fn evaluate(&mut self, now: Duration) -> Vec<(Process, f64)> {
         let last = self.judged_at;
         let is_early = last.is_some_and(|last| now < last + self.setting.interval);
         if is_early && !self.is_urgent {
--- a/crates/cassiarock-policy/src/health/record.rs
+++ b/crates/cassiarock-policy/src/health/record.rs
@@ -5,7 +5,7 @@
 
 /// How a task ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum Outcome {
     /// It succeeded and took this multiple of its expected run time.
     Done {
         /// Run time over expected run time.
@@ -59,9 +59,9 @@
         }
     }
 
-    pub(super) fn add(&mut self, end: End) {
+    pub(super) fn add(&mut self, end: Outcome) {
         self.samples = self.samples.saturating_add(1);
-        let is_done = matches!(end, End::Done { .. });
+        let is_done = matches!(end, Outcome::Done { .. });
         self.streak = if is_done {
             0
         } else {
@@ -71,7 +71,7 @@
         self.ended = self.ended.saturating_add(1);
         let weight = (1.0 / f64::from(self.ended)).max(WEIGHT);
         self.failing += weight * (failed - self.failing);
-        if let End::Done { slowness } = end {
+        if let Outcome::Done { slowness } = end {
             let log = slowness.clamp(1.0 / WIDEST, WIDEST).ln();
             self.slowness += weight * (log - self.slowness);
         }
--- a/crates/cassiarock-policy/src/retry/budget.rs
+++ b/crates/cassiarock-policy/src/retry/budget.rs
@@ -6,13 +6,13 @@
 
 /// What makes a second try safe.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Proof {
+pub enum RetrySafety {
     /// The agent that could have started the task proved that it did not and will not.
     NotStarted,
     /// The caller declared the request idempotent.
-    Repeatable,
+    Idempotent,
     /// Nothing: the first try may have run.
-    None,
+    Unproven,
 }
 
 /// The bounds of a [`Budget`].
@@ -49,10 +49,10 @@
 /// together.
 ///
 /// ```
-/// use cassiarock_policy::retry::{Budget, Proof, Setting};
+/// use cassiarock_policy::retry::{Budget, RetrySafety, Setting};
 /// let mut budget = Budget::new(Setting::default(), 1);
-/// assert!(budget.take(Proof::NotStarted, 0).is_some());
-/// assert!(budget.take(Proof::None, 0).is_none());
+/// assert!(budget.take(RetrySafety::NotStarted, 0).is_some());
+/// assert!(budget.take(RetrySafety::Unproven, 0).is_none());
 /// ```
 #[derive(Debug)]
 pub struct Budget {
@@ -73,14 +73,14 @@
     }
 
     /// A task succeeded.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.left = (self.left + self.setting.share).min(self.setting.reserve);
     }
 
     /// How long to wait before retry number `retry` (0 is the first); `None` if there is
     /// to be none, because it is not proved safe or the budget is used up.
-    pub fn take(&mut self, proof: Proof, retry: u32) -> Option<Duration> {
-        if proof == Proof::None || self.left < 1.0 {
+    pub fn take(&mut self, safety: RetrySafety, retry: u32) -> Option<Duration> {
+        if safety == RetrySafety::Unproven || self.left < 1.0 {
             return None;
         }
         self.left -= 1.0;
--- a/crates/cassiarock-policy/tests/health.rs
+++ b/crates/cassiarock-policy/tests/health.rs
@@ -1,25 +1,25 @@
 //! Fault detection, outcome by outcome.
 
 use cassiarock_id::Process;
-use cassiarock_policy::health::{End, Monitor, Setting};
+use cassiarock_policy::health::{Monitor, Outcome, Setting};
 use std::time::Duration;
 
-const GOOD: End = End::Done { slowness: 1.0 };
+const GOOD: Outcome = Outcome::Done { slowness: 1.0 };
 
 fn agent(index: usize) -> Process {
     Process::new(format!("agent-{index:02}"), 1)
 }
 
 /// Eleven upstreams for `seconds`, twenty outcomes each a second, faulty by `end`.
-fn run(monitor: &mut Monitor, from: u64, seconds: u64, end: impl Fn(usize) -> End) {
+fn run(monitor: &mut Monitor, from: u64, seconds: u64, end: impl Fn(usize) -> Outcome) {
     for tick in 0..seconds * 10 {
         for index in 0..11 {
             let runs = monitor.share(&agent(index)) > 0.0;
             for _ in 0..if runs { 2 } else { 0 } {
-                monitor.end(&agent(index), end(index));
+                monitor.record(&agent(index), end(index));
             }
         }
-        monitor.tick(Duration::from_secs(from) + Duration::from_millis(100 * tick));
+        monitor.evaluate(Duration::from_secs(from) + Duration::from_millis(100 * tick));
     }
 }
 
@@ -36,11 +36,11 @@
 }
 
 #[yare::parameterized(
-    fails_everything = { End::Failed },
-    is_not_heard_of = { End::Lost },
-    is_four_times_slower = { End::Done { slowness: 4.0 } },
+    fails_everything = { Outcome::Failed },
+    is_not_heard_of = { Outcome::Lost },
+    is_four_times_slower = { Outcome::Done { slowness: 4.0 } },
 )]
-fn a_faulty_upstream_loses_its_share_and_no_other_does(end: End) {
+fn a_faulty_upstream_loses_its_share_and_no_other_does(end: Outcome) {
     let mut monitor = monitor();
     run(
         &mut monitor,
@@ -56,7 +56,7 @@
 fn a_mended_upstream_is_back_in_full_within_half_a_minute() {
     let mut monitor = monitor();
     run(&mut monitor, 0, 3, |index| {
-        if index == 3 { End::Failed } else { GOOD }
+        if index == 3 { Outcome::Failed } else { GOOD }
     });
     run(&mut monitor, 3, 27, |_| GOOD);
     assert_eq!(withheld(&monitor), 0.0);
@@ -68,7 +68,11 @@
 fn at_most_the_bound_is_withheld(faulty: usize) {
     let mut monitor = monitor();
     run(&mut monitor, 0, 60, |index| {
-        if index < faulty { End::Failed } else { GOOD }
+        if index < faulty {
+            Outcome::Failed
+        } else {
+            GOOD
+        }
     });
     assert!(withheld(&monitor) <= 0.3 * 11.0, "{}", withheld(&monitor));
 }
@@ -81,7 +85,7 @@
     let mut shares = Vec::new();
     for round in 0..12 {
         run(&mut monitor, 11 * round, 1, |index| {
-            if index == 3 { End::Failed } else { GOOD }
+            if index == 3 { Outcome::Failed } else { GOOD }
         });
         shares.push(monitor.share(&agent(3)));
         run(&mut monitor, 11 * round + 1, 10, |_| GOOD);
--- a/crates/cassiarock-policy/tests/model/entry.rs
+++ b/crates/cassiarock-policy/tests/model/entry.rs
@@ -3,10 +3,10 @@
 use super::load::Job;
 use super::world::{Shape, id};
 use cassiarock_id::{Name, Process, Task};
-use cassiarock_policy::dispatch::{Answer, Dispatcher, End, Submission};
+use cassiarock_policy::dispatch::{Answer, Dispatcher, Outcome, Submission};
 use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::{TaskKey, Upstream};
-use cassiarock_policy::retry::Proof;
+use cassiarock_policy::retry::RetrySafety;
 use cassiarock_policy::size::Resources;
 use std::time::Duration;
 
@@ -60,11 +60,11 @@
         ran: Option<Duration>,
         now: Duration,
     ) -> Option<Duration> {
-        let end = ran.map_or(End::Failed, End::Done);
+        let end = ran.map_or(Outcome::Failed, Outcome::Done);
         self.dispatcher.end(agent, key, end, Some(load), now);
         if ran.is_some() {
             return None;
         }
-        self.dispatcher.retry(Proof::Repeatable, 0)
+        self.dispatcher.retry(RetrySafety::Idempotent, 0)
     }
 }
--- a/crates/cassiarock-policy/tests/retry.rs
+++ b/crates/cassiarock-policy/tests/retry.rs
@@ -1,6 +1,6 @@
 //! The retry budget.
 
-use cassiarock_policy::retry::{Budget, Proof, Setting};
+use cassiarock_policy::retry::{Budget, RetrySafety, Setting};
 use std::time::Duration;
 
 // A store behind all upstreams goes and every task fails. Each is tried again and again,
@@ -9,18 +9,18 @@
 fn a_total_failure_adds_a_tenth_of_load_at_most() {
     let setting = Setting::default();
     let mut budget = Budget::new(setting, 1);
-    (0..10_000).for_each(|_| budget.succeed());
-    let retries = (0..10_000).filter(|_| budget.take(Proof::Repeatable, 0).is_some());
+    (0..10_000).for_each(|_| budget.record_success());
+    let retries = (0..10_000).filter(|_| budget.take(RetrySafety::Idempotent, 0).is_some());
     assert!(retries.count() as f64 <= setting.reserve);
-    (0..100).for_each(|_| budget.succeed());
-    let retries = (0..10_000).filter(|_| budget.take(Proof::NotStarted, 0).is_some());
+    (0..100).for_each(|_| budget.record_success());
+    let retries = (0..10_000).filter(|_| budget.take(RetrySafety::NotStarted, 0).is_some());
     assert!((9..=11).contains(&retries.count()));
 }
 
 #[test]
 fn what_may_have_run_is_never_tried_again() {
     let mut budget = Budget::new(Setting::default(), 1);
-    assert!((0..100).all(|_| budget.take(Proof::None, 0).is_none()));
+    assert!((0..100).all(|_| budget.take(RetrySafety::Unproven, 0).is_none()));
 }
 
 #[test]
@@ -32,7 +32,7 @@
     let mut budget = Budget::new(setting, 1);
     let mut waits = |retry| -> Vec<Duration> {
         (0..200)
-            .filter_map(|_| budget.take(Proof::NotStarted, retry))
+            .filter_map(|_| budget.take(RetrySafety::NotStarted, retry))
             .collect()
     };
     let (first, fifth) = (waits(0), waits(4));
