--- a/crates/cassiarock-agent/src/run.rs
+++ b/crates/cassiarock-agent/src/run.rs
@@ -238,7 +238,7 @@
 ) -> impl Future<Output = ()> + use<> {
     let limit = Limit::new(settings.ledger.age, settings.ledger.bytes);
     let slots = u16::try_from(settings.slots).unwrap_or(u16::MAX);
-    let slots = slot::Setting::new(slots).with_objective(settings.weight);
+    let slots = slot::Settings::new(slots).with_objective(settings.weight);
     let agent = Agent {
         state: State::new(process.clone(), slots, limit),
         clock: Clock::new(),
--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -12,7 +12,7 @@
 use cassiarock_id::{Name, Process, Wall};
 use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::TaskKey;
-use cassiarock_policy::slot::{Setting, SlotScheduler};
+use cassiarock_policy::slot::{Settings, SlotScheduler};
 use cassiarock_process::{Behind, Now};
 use cassiarock_rule as rule;
 use cassiarock_wire::{Frame, Ping, Pong};
@@ -57,7 +57,7 @@
 }
 
 impl State {
-    pub(crate) fn new(me: Process, slots: Setting, limit: cassiarock_claim::Limit) -> Self {
+    pub(crate) fn new(me: Process, slots: Settings, limit: cassiarock_claim::Limit) -> Self {
         Self {
             ledger: Ledger::new(me.clone(), limit),
             keeper: Keeper::new(me.clone(), limit),
--- a/crates/cassiarock-entry/src/run.rs
+++ b/crates/cassiarock-entry/src/run.rs
@@ -202,7 +202,7 @@
 
 fn setting(settings: &settings::Entry, process: &Process) -> Setting {
     let policy = &settings.policy;
-    let mut dispatch = dispatch::Setting::new(policy.placement, policy.weight);
+    let mut dispatch = dispatch::Settings::new(policy.placement, policy.weight);
     dispatch.place = dispatch
         .place
         .with_data_centre(settings.data_centre.clone());
--- a/crates/cassiarock-entry/src/state/setting.rs
+++ b/crates/cassiarock-entry/src/state/setting.rs
@@ -18,7 +18,7 @@
 pub(crate) struct Setting {
     pub(crate) me: Process,
     pub(crate) data_centre: Name,
-    pub(crate) dispatch: dispatch::Setting,
+    pub(crate) dispatch: dispatch::Settings,
     pub(crate) seed: u64,
     /// How far the clocks of two VMs may differ.
     pub(crate) clock_skew: Duration,
--- a/crates/cassiarock-policy/src/admission/controller.rs
+++ b/crates/cassiarock-policy/src/admission/controller.rs
@@ -2,7 +2,7 @@
 
 use super::backlog::Backlog;
 use super::request::{AdmissionRequest, Answer, Reason};
-use super::setting::Setting;
+use super::settings::Settings;
 use super::spread::Spread;
 use super::team::{Share, Teams, Usage};
 use crate::size::Estimator;
@@ -29,9 +29,9 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Name, Wall};
-/// use cassiarock_policy::admission::{Answer, AdmissionController, AdmissionRequest, Setting};
+/// use cassiarock_policy::admission::{Answer, AdmissionController, AdmissionRequest, Settings};
 /// use std::time::Duration;
-/// let mut gate = AdmissionController::new(Setting::default(), 1);
+/// let mut gate = AdmissionController::new(Settings::default(), 1);
 /// gate.set_slots(88);
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let offer = AdmissionRequest::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
@@ -39,7 +39,7 @@
 /// ```
 #[derive(Debug)]
 pub struct AdmissionController {
-    setting: Setting,
+    settings: Settings,
     slots: f64,
     /// Whether no upstream can be reached.
     is_out: bool,
@@ -53,9 +53,9 @@
 impl AdmissionController {
     /// A gate without a pool; it admits until it knows one.
     #[must_use]
-    pub fn new(setting: Setting, seed: u64) -> Self {
+    pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            setting,
+            settings,
             slots: 0.0,
             is_out: false,
             tasks: 0,
@@ -88,13 +88,13 @@
         let work = offer.work.as_secs_f64();
         if let Some((reason, wait)) = self.objection(offer, work, now) {
             let service = self.backlog.service();
-            let retry_after = self.spread.next(work, wait, service, &self.setting, now);
+            let retry_after = self.spread.next(work, wait, service, &self.settings, now);
             return Answer::Refuse {
                 reason,
                 retry_after,
             };
         }
-        let burst = self.setting.burst;
+        let burst = self.settings.burst;
         let ahead = self.teams.charge(&offer.team, work, self.slots, burst, now);
         self.keep(offer, work, now);
         let due = Estimator::due(now, offer.work, self.slots as usize);
@@ -148,7 +148,7 @@
 
     /// What another entry told.
     pub fn apply_usage(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
-        let burst = self.setting.burst;
+        let burst = self.settings.burst;
         self.teams.hear(entry, usages, self.slots, burst, now);
     }
 
@@ -171,19 +171,19 @@
         now: Duration,
     ) -> Option<(Reason, f64)> {
         let backlog = self.backlog.total() / self.backlog.service();
-        if self.tasks + offer.tasks > self.setting.tasks || self.jobs.len() >= self.setting.jobs {
+        if self.tasks + offer.tasks > self.settings.tasks || self.jobs.len() >= self.settings.jobs {
             return Some((Reason::Full, backlog / 2.0));
         }
-        if let Some(wait) = self.teams.wait(&offer.team, self.setting.burst, now) {
+        if let Some(wait) = self.teams.wait(&offer.team, self.settings.burst, now) {
             return Some((Reason::Quota, wait));
         }
         if self.slots == 0.0 {
             return None;
         }
-        let patience = offer.within.unwrap_or(self.setting.patience).as_secs_f64();
+        let patience = offer.within.unwrap_or(self.settings.patience).as_secs_f64();
         // A team within its share is served before one that is ahead of its own, so the
         // other's backlog does not delay it.
-        let burst = self.setting.burst;
+        let burst = self.settings.burst;
         let by_share = self
             .teams
             .end_by_share(&offer.team, work, self.slots, burst, now);
--- a/crates/cassiarock-policy/src/admission/mod.rs
+++ b/crates/cassiarock-policy/src/admission/mod.rs
@@ -3,11 +3,11 @@
 mod backlog;
 mod controller;
 mod request;
-mod setting;
+mod settings;
 mod spread;
 mod team;
 
 pub use controller::AdmissionController;
 pub use request::{AdmissionRequest, Answer, Reason};
-pub use setting::Setting;
+pub use settings::Settings;
 pub use team::{Share, Usage};
--- a/crates/cassiarock-policy/src/admission/setting.rs
+++ b/crates/cassiarock-policy/src/admission/settings.rs
@@ -5,12 +5,12 @@
 /// The bounds of a [`super::AdmissionController`].
 ///
 /// ```
-/// use cassiarock_policy::admission::Setting;
-/// let setting = Setting::default().with_tasks(1000);
-/// assert_eq!(setting.tasks, 1000);
+/// use cassiarock_policy::admission::Settings;
+/// let settings = Settings::default().with_tasks(1000);
+/// assert_eq!(settings.tasks, 1000);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Setting {
+pub struct Settings {
     /// Tasks of admitted jobs at most, waiting and running. At 1 KB a task, 50,000 are
     /// 50 MB of an entry's 256 MB.
     pub tasks: usize,
@@ -26,7 +26,7 @@
     pub longest: Duration,
 }
 
-impl Default for Setting {
+impl Default for Settings {
     fn default() -> Self {
         Self {
             tasks: 50_000,
@@ -39,7 +39,7 @@
     }
 }
 
-impl Setting {
+impl Settings {
     /// With another bound on tasks.
     #[must_use]
     pub const fn with_tasks(mut self, tasks: usize) -> Self {
--- a/crates/cassiarock-policy/src/admission/spread.rs
+++ b/crates/cassiarock-policy/src/admission/spread.rs
@@ -1,6 +1,6 @@
 //! When refused callers come again.
 
-use super::Setting;
+use super::Settings;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -33,17 +33,17 @@
         work: f64,
         wait: f64,
         service: f64,
-        setting: &Setting,
+        settings: &Settings,
         now: Duration,
     ) -> Duration {
         let passed = now.saturating_sub(self.decayed_at).as_secs_f64();
         self.decayed_at = now;
         self.refused = self.refused * (-passed / MEMORY).exp() + work;
-        let longest = setting.longest.as_secs_f64();
+        let longest = settings.longest.as_secs_f64();
         let wait = wait.clamp(0.0, longest / 2.0);
         let width = (self.refused / service).clamp(wait, longest - wait);
         let spread = Duration::from_secs_f64(wait + width * self.rng.random::<f64>());
         // Above the shortest wait, so that the bound itself does not line callers up.
-        spread + setting.shortest.mul_f64(1.0 + self.rng.random::<f64>())
+        spread + settings.shortest.mul_f64(1.0 + self.rng.random::<f64>())
     }
 }
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -1,6 +1,6 @@
 //! The dispatcher of one pool.
 
-use super::setting::Setting;
+use super::settings::Settings;
 use super::submission::{Answer, Outcome, Reason, Submission};
 use crate::admission::{self, AdmissionController, AdmissionRequest, Share, Usage};
 use crate::health::{self, Monitor};
@@ -29,13 +29,13 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Name, Process, Task, Wall};
-/// use cassiarock_policy::dispatch::{Answer, Dispatcher, Setting, Submission};
+/// use cassiarock_policy::dispatch::{Answer, Dispatcher, Settings, Submission};
 /// use cassiarock_policy::place::{Action, Upstream};
 /// use cassiarock_policy::size::Resources;
 /// use cassiarock_policy::{PlacementPolicy, Objective};
 /// use std::time::Duration;
-/// let setting = Setting::new(PlacementPolicy::Credits, Objective::Messages);
-/// let mut dispatcher = Dispatcher::new(setting, 1);
+/// let settings = Settings::new(PlacementPolicy::Credits, Objective::Messages);
+/// let mut dispatcher = Dispatcher::new(settings, 1);
 /// let upstream = Upstream::new(Process::new("agent-1", 1), 8);
 /// dispatcher.add(upstream, Resources::new(64_000, 128 << 10, 0));
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
@@ -60,13 +60,13 @@
 impl Dispatcher {
     /// A dispatcher that knows no upstream. Entries use different seeds.
     #[must_use]
-    pub fn new(setting: Setting, seed: u64) -> Self {
+    pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            placer: Placer::new(setting.place, seed),
-            gate: AdmissionController::new(setting.admission, seed),
-            monitor: Monitor::new(setting.health),
+            placer: Placer::new(settings.place, seed),
+            gate: AdmissionController::new(settings.admission, seed),
+            monitor: Monitor::new(settings.health),
             estimate: Estimator::default(),
-            budget: Budget::new(setting.retry, seed),
+            budget: Budget::new(settings.retry, seed),
             fit: Capacities::default(),
             slots: HashMap::new(),
             jobs: HashMap::new(),
--- a/crates/cassiarock-policy/src/dispatch/mod.rs
+++ b/crates/cassiarock-policy/src/dispatch/mod.rs
@@ -1,9 +1,9 @@
 //! All decisions of an entry about one pool of upstreams, put together.
 
 mod dispatcher;
-mod setting;
+mod settings;
 mod submission;
 
 pub use dispatcher::Dispatcher;
-pub use setting::Setting;
+pub use settings::Settings;
 pub use submission::{Answer, Outcome, Reason, Submission};
--- a/crates/cassiarock-policy/src/dispatch/setting.rs
+++ b/crates/cassiarock-policy/src/dispatch/settings.rs
@@ -5,31 +5,31 @@
 /// The settings of all decisions about one pool.
 ///
 /// ```
-/// use cassiarock_policy::{PlacementPolicy, Objective, dispatch::Setting};
-/// let setting = Setting::new(PlacementPolicy::Credits, Objective::Response);
-/// assert!(setting.place.reach > 0);
+/// use cassiarock_policy::{PlacementPolicy, Objective, dispatch::Settings};
+/// let settings = Settings::new(PlacementPolicy::Credits, Objective::Response);
+/// assert!(settings.place.reach > 0);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
-pub struct Setting {
+pub struct Settings {
     /// Of placement.
-    pub place: place::Setting,
+    pub place: place::Settings,
     /// Of admission.
-    pub admission: admission::Setting,
+    pub admission: admission::Settings,
     /// Of fault detection.
-    pub health: health::Setting,
+    pub health: health::Settings,
     /// Of retries.
-    pub retry: retry::Setting,
+    pub retry: retry::Settings,
 }
 
-impl Setting {
+impl Settings {
     /// The defaults for a policy and a weight.
     #[must_use]
     pub fn new(kind: PlacementPolicy, weight: Objective) -> Self {
         Self {
-            place: place::Setting::new(kind).with_objective(weight),
-            admission: admission::Setting::default(),
-            health: health::Setting::default(),
-            retry: retry::Setting::default(),
+            place: place::Settings::new(kind).with_objective(weight),
+            admission: admission::Settings::default(),
+            health: health::Settings::default(),
+            retry: retry::Settings::default(),
         }
     }
 }
--- a/crates/cassiarock-policy/src/health/mod.rs
+++ b/crates/cassiarock-policy/src/health/mod.rs
@@ -2,8 +2,8 @@
 
 mod monitor;
 mod record;
-mod setting;
+mod settings;
 
 pub use monitor::Monitor;
 pub use record::Outcome;
-pub use setting::Setting;
+pub use settings::Settings;
--- a/crates/cassiarock-policy/src/health/monitor.rs
+++ b/crates/cassiarock-policy/src/health/monitor.rs
@@ -1,6 +1,6 @@
 //! The judgement of upstreams by their outcomes.
 
-use super::Setting;
+use super::Settings;
 use super::record::{Outcome, Record};
 use cassiarock_id::Process;
 use std::collections::BTreeMap;
@@ -30,9 +30,9 @@
 ///
 /// ```
 /// use cassiarock_id::Process;
-/// use cassiarock_policy::health::{Outcome, Monitor, Setting};
+/// use cassiarock_policy::health::{Outcome, Monitor, Settings};
 /// use std::time::Duration;
-/// let mut monitor = Monitor::new(Setting::default());
+/// let mut monitor = Monitor::new(Settings::default());
 /// for index in 0..11 {
 ///     monitor.add(Process::new(format!("agent-{index}"), 1));
 /// }
@@ -45,7 +45,7 @@
 /// ```
 #[derive(Debug)]
 pub struct Monitor {
-    setting: Setting,
+    settings: Settings,
     records: BTreeMap<Process, Record>,
     judged_at: Option<Duration>,
     is_urgent: bool,
@@ -54,9 +54,9 @@
 impl Monitor {
     /// A monitor that knows no upstream.
     #[must_use]
-    pub fn new(setting: Setting) -> Self {
+    pub fn new(settings: Settings) -> Self {
         Self {
-            setting,
+            settings,
             records: BTreeMap::new(),
             judged_at: None,
             is_urgent: false,
@@ -65,7 +65,7 @@
 
     /// An upstream announced itself.
     pub fn add(&mut self, agent: Process) {
-        let record = Record::new(&self.setting);
+        let record = Record::new(&self.settings);
         self.records.entry(agent).or_insert(record);
     }
 
@@ -96,13 +96,13 @@
             return Duration::ZERO;
         }
         let judged = self.judged_at.unwrap_or_default();
-        judged + self.setting.interval
+        judged + self.settings.interval
     }
 
     /// Judges all upstreams; returns the shares that changed.
     pub fn evaluate(&mut self, now: Duration) -> Vec<(Process, f64)> {
         let last = self.judged_at;
-        let is_early = last.is_some_and(|last| now < last + self.setting.interval);
+        let is_early = last.is_some_and(|last| now < last + self.settings.interval);
         if is_early && !self.is_urgent {
             return Vec::new();
         }
@@ -123,14 +123,15 @@
         let median_slowness = median(self.records.values().map(|record| record.slowness));
         let median_failing = median(self.records.values().map(|record| record.failing));
         let records = self.records.iter();
-        let judged = records
-            .filter(|(_, record)| record.is_proved(&self.setting) || record.is_failing_now(STREAK));
+        let judged = records.filter(|(_, record)| {
+            record.is_proved(&self.settings) || record.is_failing_now(STREAK)
+        });
         let faults = judged.filter_map(|(agent, record)| {
-            let fails = record.failing > self.setting.failing
+            let fails = record.failing > self.settings.failing
                 && record.failing > FAILS_MORE * median_failing;
             let slowness = (record.slowness - median_slowness).exp();
             let badness = if fails { f64::INFINITY } else { slowness };
-            (fails || slowness > self.setting.slow).then(|| Fault {
+            (fails || slowness > self.settings.slow).then(|| Fault {
                 agent: agent.clone(),
                 fails,
                 badness,
@@ -145,27 +146,27 @@
     /// changes, else a share would go up and down with the noise.
     fn raise_the_good(&mut self, faults: &[Fault], now: Duration) {
         let median = median(self.records.values().map(|record| record.slowness));
-        let good = self.setting.slow.ln() / 2.0;
+        let good = self.settings.slow.ln() / 2.0;
         for (agent, record) in &mut self.records {
             let is_faulty = faults.iter().any(|fault| fault.agent == *agent);
             let is_good = !is_faulty && record.slowness - median < good;
-            let is_proved = record.share < 1.0 && record.is_proved(&self.setting);
+            let is_proved = record.share < 1.0 && record.is_proved(&self.settings);
             if record.is_over(now) || (is_proved && is_good) {
-                record.raise(&self.setting);
+                record.raise(&self.settings);
             }
         }
     }
 
     /// The worst first, until the bound on what is withheld.
     fn lower_the_faulty(&mut self, faults: Vec<Fault>, now: Duration) {
-        let bound = self.records.len() as f64 * self.setting.withheld;
+        let bound = self.records.len() as f64 * self.settings.withheld;
         for fault in faults {
             let withheld: f64 = self.records.values().map(|record| 1.0 - record.share).sum();
             let Some(record) = self.records.get_mut(&fault.agent) else {
                 continue;
             };
             if withheld + record.next_loss(fault.fails) <= bound {
-                record.lower(fault.fails, &self.setting, now);
+                record.lower(fault.fails, &self.settings, now);
             }
         }
     }
--- a/crates/cassiarock-policy/src/health/record.rs
+++ b/crates/cassiarock-policy/src/health/record.rs
@@ -1,6 +1,6 @@
 //! What is known of one upstream's outcomes.
 
-use super::Setting;
+use super::Settings;
 use std::time::Duration;
 
 /// How a task ended.
@@ -46,7 +46,7 @@
 }
 
 impl Record {
-    pub(super) fn new(setting: &Setting) -> Self {
+    pub(super) fn new(settings: &Settings) -> Self {
         Self {
             share: 1.0,
             failing: 0.0,
@@ -55,7 +55,7 @@
             ended: 0,
             streak: 0,
             paused_until: None,
-            pause: setting.pause,
+            pause: settings.pause,
         }
     }
 
@@ -88,17 +88,17 @@
 
     /// One step down. `at_once` is for upstreams that fail tasks quickly: each further
     /// step would cost as many tasks as they can fail meanwhile.
-    pub(super) fn lower(&mut self, at_once: bool, setting: &Setting, now: Duration) {
+    pub(super) fn lower(&mut self, at_once: bool, settings: &Settings, now: Duration) {
         self.samples = 0;
         self.share -= self.next_loss(at_once);
         if self.share <= 0.0 {
             self.paused_until = Some(now + self.pause);
-            self.pause = (self.pause * 2).min(setting.longest_pause);
+            self.pause = (self.pause * 2).min(settings.longest_pause);
         }
     }
 
     /// One step up; the record of a paused upstream starts anew.
-    pub(super) fn raise(&mut self, setting: &Setting) {
+    pub(super) fn raise(&mut self, settings: &Settings) {
         self.samples = 0;
         if self.paused_until.take().is_some() {
             self.ended = 0;
@@ -110,17 +110,17 @@
         }
         self.share = (self.share * 2.0).min(1.0);
         if self.share >= 1.0 {
-            self.pause = setting.pause;
+            self.pause = settings.pause;
         }
     }
 
     /// Whether enough has ended since the last change to judge it. With a part of the slots
     /// fewer tasks end, and slow ones take long.
-    pub(super) fn is_proved(&self, setting: &Setting) -> bool {
+    pub(super) fn is_proved(&self, settings: &Settings) -> bool {
         let samples = if self.share < 1.0 {
             FEW_SAMPLES
         } else {
-            setting.samples
+            settings.samples
         };
         self.paused_until.is_none() && self.samples >= samples
     }
--- a/crates/cassiarock-policy/src/health/setting.rs
+++ b/crates/cassiarock-policy/src/health/settings.rs
@@ -4,7 +4,7 @@
 
 /// When an upstream counts as faulty, and what follows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Setting {
+pub struct Settings {
     /// Time between judgements. Shares change by one step per judgement, so that a wrong
     /// one costs little before the next corrects it.
     pub interval: Duration,
@@ -26,7 +26,7 @@
     pub longest_pause: Duration,
 }
 
-impl Default for Setting {
+impl Default for Settings {
     fn default() -> Self {
         Self {
             interval: Duration::from_millis(500),
--- a/crates/cassiarock-policy/src/objective.rs
+++ b/crates/cassiarock-policy/src/objective.rs
@@ -1,4 +1,4 @@
-//! The setting between the two measures.
+//! The settings between the two measures.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,10 +6,10 @@
 ///
 /// ```
 /// use cassiarock_policy::{PlacementPolicy, Objective, place, slot};
-/// let entry = place::Setting::new(PlacementPolicy::Credits).with_objective(Objective::Response);
-/// let agent = slot::Setting::new(8).with_objective(Objective::Response);
+/// let entry = place::Settings::new(PlacementPolicy::Credits).with_objective(Objective::Response);
+/// let agent = slot::Settings::new(8).with_objective(Objective::Response);
 /// assert!(entry.reach > 0);
-/// assert!(agent.slack < slot::Setting::new(8).slack);
+/// assert!(agent.slack < slot::Settings::new(8).slack);
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
--- a/crates/cassiarock-policy/src/place/demand.rs
+++ b/crates/cassiarock-policy/src/place/demand.rs
@@ -3,7 +3,7 @@
 use super::placer::Action;
 use super::pool::Pool;
 use super::queue::Queue;
-use super::setting::Setting;
+use super::settings::Settings;
 use super::view::View;
 use crate::Due;
 use crate::load::SlotDemand;
@@ -31,8 +31,8 @@
 }
 
 impl Book {
-    pub(super) fn wake(&self, setting: &Setting) -> Duration {
-        self.started_at + setting.renew
+    pub(super) fn wake(&self, settings: &Settings) -> Duration {
+        self.started_at + settings.renew
     }
 
     /// Credits arrived from an upstream that was asked.
@@ -44,13 +44,13 @@
 
     /// The next upstream to ask, if the round's demands are too few.
     pub(super) fn next(&mut self, pool: &mut Pool, queue: &Queue, now: Duration) -> Option<u32> {
-        self.open_round(queue, &pool.setting, now);
-        let seekers = if pool.setting.ahead > 0 {
-            queue.seekers(pool.setting.few)
+        self.open_round(queue, &pool.settings, now);
+        let seekers = if pool.settings.ahead > 0 {
+            queue.seekers(pool.settings.few)
         } else {
             queue.len()
         };
-        let target = seekers * usize::from(pool.setting.reach);
+        let target = seekers * usize::from(pool.settings.reach);
         if self.asked >= target {
             return None;
         }
@@ -71,7 +71,7 @@
         index: u32,
         now: Duration,
     ) -> SlotDemand {
-        let want = if pool.setting.ahead > 0 {
+        let want = if pool.settings.ahead > 0 {
             1
         } else {
             share(pool, queue, index)
@@ -88,16 +88,16 @@
         index: u32,
         now: Duration,
     ) -> SlotDemand {
-        if pool.setting.kind.queues_at_upstream() {
+        if pool.settings.kind.queues_at_upstream() {
             return SlotDemand::default();
         }
-        self.open_round(queue, &pool.setting, now);
+        self.open_round(queue, &pool.settings, now);
         let mut want = if self.has_asked(pool, index) {
             pool.get(index).map_or(0, |view| view.asked)
         } else {
             0
         };
-        if pool.setting.kind == crate::PlacementPolicy::Credits {
+        if pool.settings.kind == crate::PlacementPolicy::Credits {
             want = want.max(share(pool, queue, index));
         }
         if queue.len() == 0 {
@@ -115,7 +115,7 @@
         let mut actions = Vec::new();
         for index in pool.take_credited() {
             let contended = pool.get(index).is_some_and(|view| view.load.contended);
-            if !contended || pool.setting.kind != crate::PlacementPolicy::Probes {
+            if !contended || pool.settings.kind != crate::PlacementPolicy::Probes {
                 pool.keep_credited(index);
                 continue;
             }
@@ -133,13 +133,13 @@
         actions
     }
 
-    fn open_round(&mut self, queue: &Queue, setting: &Setting, now: Duration) {
+    fn open_round(&mut self, queue: &Queue, settings: &Settings, now: Duration) {
         let first = queue.first_due();
         let sooner = match (first, self.due) {
             (Some(first), Some(told)) => first.plus(SOONER) < told,
             _ => true,
         };
-        let old = now.saturating_sub(self.started_at) >= setting.renew;
+        let old = now.saturating_sub(self.started_at) >= settings.renew;
         if sooner || old {
             self.round += 1;
             self.asked = 0;
@@ -190,7 +190,7 @@
 /// How many slots to ask of one upstream: the waiting tasks spread over those usable,
 /// `reach` times over, at most all its slots.
 fn share(pool: &Pool, queue: &Queue, index: u32) -> u16 {
-    let wanted = queue.len() * usize::from(pool.setting.reach.max(1));
+    let wanted = queue.len() * usize::from(pool.settings.reach.max(1));
     let each = wanted.div_ceil(pool.usable().len().max(1));
     let slots = pool.get(index).map_or(0, |view| view.upstream.slots);
     u16::try_from(each).unwrap_or(u16::MAX).min(slots)
--- a/crates/cassiarock-policy/src/place/mod.rs
+++ b/crates/cassiarock-policy/src/place/mod.rs
@@ -6,11 +6,11 @@
 mod placer;
 mod pool;
 mod queue;
-mod setting;
+mod settings;
 mod upstream;
 mod view;
 
 pub use job::{PlacedTask, ReadyTasks, TaskKey};
 pub use placer::{Action, Placer};
-pub use setting::Setting;
+pub use settings::Settings;
 pub use upstream::Upstream;
--- a/crates/cassiarock-policy/src/place/placer.rs
+++ b/crates/cassiarock-policy/src/place/placer.rs
@@ -4,7 +4,7 @@
 use super::job::{PlacedTask, ReadyTasks, TaskKey};
 use super::pool::Pool;
 use super::queue::Queue;
-use super::setting::Setting;
+use super::settings::Settings;
 use super::upstream::Upstream;
 use super::view::FULL_WEIGHT;
 use crate::load::{LoadReport, SlotDemand};
@@ -60,10 +60,10 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Process, Task, Wall};
-/// use cassiarock_policy::place::{self, Action, Placer, Setting, Upstream};
+/// use cassiarock_policy::place::{self, Action, Placer, Settings, Upstream};
 /// use cassiarock_policy::{Due, PlacementPolicy};
 /// use std::time::Duration;
-/// let mut placer = Placer::new(Setting::new(PlacementPolicy::Credits), 1);
+/// let mut placer = Placer::new(Settings::new(PlacementPolicy::Credits), 1);
 /// placer.add(Upstream::new(Process::new("agent-1", 1), 8));
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let due = Due::new(Duration::ZERO, Duration::ZERO);
@@ -83,9 +83,9 @@
 impl Placer {
     /// A placer that knows no upstream. Entries use different seeds.
     #[must_use]
-    pub fn new(setting: Setting, seed: u64) -> Self {
+    pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            pool: Pool::new(setting, seed),
+            pool: Pool::new(settings, seed),
             queue: Queue::default(),
             flights: HashMap::new(),
             book: Book::default(),
@@ -234,10 +234,10 @@
                 actions.push(Action::Start { agent, tasks, ask });
             }
         }
-        if self.pool.setting.tries_stale() {
+        if self.pool.settings.tries_stale() {
             self.probe_stale(now, &mut actions);
         }
-        if !self.pool.setting.kind.queues_at_upstream() {
+        if !self.pool.settings.kind.queues_at_upstream() {
             self.seek(now, &mut actions);
         }
         actions.extend(self.book.give_back(&mut self.pool, &self.queue));
@@ -252,8 +252,8 @@
         }
         Some(
             self.book
-                .wake(&self.pool.setting)
-                .min(self.polled_at + self.pool.setting.stale),
+                .wake(&self.pool.settings)
+                .min(self.polled_at + self.pool.settings.stale),
         )
     }
 
@@ -283,8 +283,8 @@
         for (job, due, avoid) in self.queue.front(LOOK_PAST) {
             let avoid = avoid.and_then(|agent| self.pool.index(agent));
             let found = self.pool.pick(avoid);
-            let seeks =
-                self.pool.setting.reach > 0 && self.queue.waiting_of(job) <= self.pool.setting.few;
+            let seeks = self.pool.settings.reach > 0
+                && self.queue.waiting_of(job) <= self.pool.settings.few;
             let found = found.or_else(|| {
                 if seeks {
                     return None;
@@ -317,13 +317,13 @@
 
     /// Whether a task that is being sent may wait at the upstream.
     fn may_wait(&self, index: u32, job: Job) -> bool {
-        let setting = &self.pool.setting;
-        if setting.kind != PlacementPolicy::Credits {
-            return setting.kind.queues_at_upstream();
+        let settings = &self.pool.settings;
+        if settings.kind != PlacementPolicy::Credits {
+            return settings.kind.queues_at_upstream();
         }
         let believed_open = self.pool.get(index).is_some_and(|view| view.open() > 0);
-        let is_few = self.queue.waiting_of(job) < setting.few;
-        setting.ahead > 0 && !(believed_open && is_few && setting.reach > 0)
+        let is_few = self.queue.waiting_of(job) < settings.few;
+        settings.ahead > 0 && !(believed_open && is_few && settings.reach > 0)
     }
 
     fn land(&mut self, key: &TaskKey) -> Option<Flight> {
@@ -357,7 +357,7 @@
 
     fn trial(&mut self, index: u32, now: Duration) -> Option<PlacedTask> {
         let view = self.pool.get(index)?;
-        if !view.is_stale(now, self.pool.setting.stale) {
+        if !view.is_stale(now, self.pool.settings.stale) {
             return None;
         }
         let (job, _, avoid) = self.queue.front(1).next()?;
--- a/crates/cassiarock-policy/src/place/pool.rs
+++ b/crates/cassiarock-policy/src/place/pool.rs
@@ -1,7 +1,7 @@
 //! The upstreams that an entry knows, and the draw of one for a task.
 
 use super::candidates::Candidates;
-use super::setting::Setting;
+use super::settings::Settings;
 use super::upstream::Upstream;
 use super::view::View;
 use crate::load::LoadReport;
@@ -23,7 +23,7 @@
 /// placement costs the same at thousands of upstreams as at a few.
 #[derive(Debug)]
 pub(super) struct Pool {
-    pub(super) setting: Setting,
+    pub(super) settings: Settings,
     pub(super) rng: StdRng,
     views: Vec<Option<View>>,
     index: HashMap<Process, u32>,
@@ -38,9 +38,9 @@
 }
 
 impl Pool {
-    pub(super) fn new(setting: Setting, seed: u64) -> Self {
+    pub(super) fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            setting,
+            settings,
             rng: StdRng::seed_from_u64(seed),
             views: Vec::new(),
             index: HashMap::new(),
@@ -54,7 +54,7 @@
 
     pub(super) fn add(&mut self, upstream: Upstream) {
         self.remove(&upstream.agent);
-        let near = upstream.data_centre == self.setting.data_centre;
+        let near = upstream.data_centre == self.settings.data_centre;
         let agent = upstream.agent.clone();
         let view = Some(View::new(upstream, near));
         let index = match self.vacant.pop() {
@@ -133,7 +133,7 @@
 
     /// Forgets credits that the agents have let expire.
     pub(super) fn expire_credits(&mut self, now: Duration) {
-        let hold = self.setting.hold;
+        let hold = self.settings.hold;
         for index in self.take_credited() {
             let expired = self.change(index, |view| {
                 let expired = now.saturating_sub(view.credit_at) >= hold;
@@ -158,7 +158,7 @@
 
     /// An upstream with room that is not `avoid`.
     pub(super) fn pick(&mut self, avoid: Option<u32>) -> Option<u32> {
-        if self.setting.kind == PlacementPolicy::Random {
+        if self.settings.kind == PlacementPolicy::Random {
             return self.draw(avoid);
         }
         let first = self.draw(avoid)?;
@@ -169,7 +169,7 @@
     /// An upstream where a task due at `due` may wait ahead of this entry's other tasks:
     /// of a few drawn, the one with the fewest own tasks before it, then the least loaded.
     pub(super) fn pick_ahead(&mut self, due: Due, avoid: Option<u32>) -> Option<u32> {
-        if self.setting.kind != PlacementPolicy::Credits || self.setting.ahead == 0 {
+        if self.settings.kind != PlacementPolicy::Credits || self.settings.ahead == 0 {
             return None;
         }
         let mut best: Option<((i64, i64), u32)> = None;
@@ -178,7 +178,7 @@
             let Some(view) = self.get(index) else {
                 continue;
             };
-            let room = view.room_before(due, self.setting.ahead);
+            let room = view.room_before(due, self.settings.ahead);
             let rank = (room, -view.believed());
             let is_better = best.is_none_or(|(most, _)| rank > most);
             if room > 0 && is_better && Some(index) != avoid {
@@ -210,7 +210,7 @@
     }
 
     fn room(&self, view: &View) -> i64 {
-        view.room(self.setting.kind, self.setting.bound)
+        view.room(self.settings.kind, self.settings.bound)
     }
 
     fn refresh(&mut self, index: u32) {
--- a/crates/cassiarock-policy/src/place/setting.rs
+++ b/crates/cassiarock-policy/src/place/settings.rs
@@ -7,12 +7,12 @@
 /// How a [`super::Placer`] decides.
 ///
 /// ```
-/// use cassiarock_policy::{PlacementPolicy, place::Setting};
-/// let setting = Setting::new(PlacementPolicy::Credits).with_reach(2);
-/// assert_eq!(setting.reach, 2);
+/// use cassiarock_policy::{PlacementPolicy, place::Settings};
+/// let settings = Settings::new(PlacementPolicy::Credits).with_reach(2);
+/// assert_eq!(settings.reach, 2);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
-pub struct Setting {
+pub struct Settings {
     /// The policy.
     pub kind: PlacementPolicy,
     /// At how many upstreams a task asks for a slot that finds none open. More of them
@@ -33,13 +33,13 @@
     /// How long to wait for the answer to a demand before it is sent again.
     pub renew: Duration,
     /// How long a credit is used at most. The agents keep it a little longer, see
-    /// [`crate::slot::Setting::hold`].
+    /// [`crate::slot::Settings::hold`].
     pub hold: Duration,
     /// The entry's own data centre, preferred between equals.
     pub data_centre: Name,
 }
 
-impl Setting {
+impl Settings {
     /// The defaults for the policy `kind`.
     #[must_use]
     pub fn new(kind: PlacementPolicy) -> Self {
--- a/crates/cassiarock-policy/src/policy.rs
+++ b/crates/cassiarock-policy/src/policy.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How waiting tasks are bound to upstreams. Entries and agents of a pool use the same
-/// one; while a change of the setting spreads, an agent serves every kind of start.
+/// one; while a change of the settings spreads, an agent serves every kind of start.
 ///
 /// ```
 /// use cassiarock_policy::PlacementPolicy;
--- a/crates/cassiarock-policy/src/retry/budget.rs
+++ b/crates/cassiarock-policy/src/retry/budget.rs
@@ -17,7 +17,7 @@
 
 /// The bounds of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Setting {
+pub struct Settings {
     /// Retries allowed per success. At a tenth, a total failure of all upstreams raises
     /// the load by a tenth at most, where unbounded retries would multiply it.
     pub share: f64,
@@ -30,7 +30,7 @@
     pub longest: Duration,
 }
 
-impl Default for Setting {
+impl Default for Settings {
     fn default() -> Self {
         Self {
             share: 0.1,
@@ -49,14 +49,14 @@
 /// together.
 ///
 /// ```
-/// use cassiarock_policy::retry::{Budget, RetrySafety, Setting};
-/// let mut budget = Budget::new(Setting::default(), 1);
+/// use cassiarock_policy::retry::{Budget, RetrySafety, Settings};
+/// let mut budget = Budget::new(Settings::default(), 1);
 /// assert!(budget.take(RetrySafety::NotStarted, 0).is_some());
 /// assert!(budget.take(RetrySafety::Unproven, 0).is_none());
 /// ```
 #[derive(Debug)]
 pub struct Budget {
-    setting: Setting,
+    settings: Settings,
     left: f64,
     rng: StdRng,
 }
@@ -64,17 +64,17 @@
 impl Budget {
     /// A full budget.
     #[must_use]
-    pub fn new(setting: Setting, seed: u64) -> Self {
+    pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            left: setting.reserve,
-            setting,
+            left: settings.reserve,
+            settings,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
     /// A task succeeded.
     pub fn record_success(&mut self) {
-        self.left = (self.left + self.setting.share).min(self.setting.reserve);
+        self.left = (self.left + self.settings.share).min(self.settings.reserve);
     }
 
     /// How long to wait before retry number `retry` (0 is the first); `None` if there is
@@ -85,8 +85,8 @@
         }
         self.left -= 1.0;
         let factor = 2_u32.saturating_pow(retry.min(16));
-        let longest = self.setting.base.saturating_mul(factor);
-        let longest = longest.min(self.setting.longest);
+        let longest = self.settings.base.saturating_mul(factor);
+        let longest = longest.min(self.settings.longest);
         Some(longest.mul_f64(self.rng.random()))
     }
 }
--- a/crates/cassiarock-policy/src/retry/mod.rs
+++ b/crates/cassiarock-policy/src/retry/mod.rs
@@ -2,4 +2,4 @@
 
 mod budget;
 
-pub use budget::{Budget, RetrySafety, Setting};
+pub use budget::{Budget, RetrySafety, Settings};
--- a/crates/cassiarock-policy/src/slot/demand.rs
+++ b/crates/cassiarock-policy/src/slot/demand.rs
@@ -1,6 +1,6 @@
 //! Who waits for slots here, and who holds credits.
 
-use super::Setting;
+use super::Settings;
 use crate::Due;
 use crate::load::SlotDemand;
 use cassiarock_id::Process;
@@ -82,12 +82,12 @@
             .min_by_key(|(entry, demand)| (demand.due, *entry))
     }
 
-    pub(super) fn expire(&mut self, setting: &Setting, now: Duration) {
+    pub(super) fn expire(&mut self, settings: &Settings, now: Duration) {
         for demand in self.entries.values_mut() {
             if demand.credit > 0 && now >= demand.credit_until {
                 demand.credit = 0;
             }
-            if now.saturating_sub(demand.asked_at) >= setting.forget {
+            if now.saturating_sub(demand.asked_at) >= settings.forget {
                 demand.waiting = 0;
             }
         }
--- a/crates/cassiarock-policy/src/slot/mod.rs
+++ b/crates/cassiarock-policy/src/slot/mod.rs
@@ -3,7 +3,7 @@
 mod demand;
 mod queue;
 mod scheduler;
-mod setting;
+mod settings;
 
 pub use scheduler::{Action, Finish, SlotScheduler, Verdict};
-pub use setting::Setting;
+pub use settings::Settings;
--- a/crates/cassiarock-policy/src/slot/scheduler.rs
+++ b/crates/cassiarock-policy/src/slot/scheduler.rs
@@ -1,6 +1,6 @@
 //! The slots of one upstream.
 
-use super::Setting;
+use super::Settings;
 use super::demand::Register;
 use super::queue::Queue;
 use crate::Due;
@@ -61,18 +61,18 @@
 /// use cassiarock_id::{Job, Process, Task, Wall};
 /// use cassiarock_policy::load::SlotDemand;
 /// use cassiarock_policy::place::{TaskKey, PlacedTask};
-/// use cassiarock_policy::slot::{SlotScheduler, Setting, Verdict};
+/// use cassiarock_policy::slot::{SlotScheduler, Settings, Verdict};
 /// use std::time::Duration;
 /// let entry = Process::new("entry-1", 1);
 /// let key = TaskKey::new(Job::with_bits(Wall::from_millis(1), 1), Task(0));
-/// let mut pool = SlotScheduler::new(Setting::new(8));
+/// let mut pool = SlotScheduler::new(Settings::new(8));
 /// let now = Duration::ZERO;
 /// assert_eq!(pool.start(&entry, &[PlacedTask::new(key, 0)], &SlotDemand::default(), now), [Verdict::Run]);
 /// assert_eq!(pool.finish(&key, now).load.open, 8);
 /// ```
 #[derive(Debug)]
 pub struct SlotScheduler {
-    setting: Setting,
+    settings: Settings,
     running: HashMap<TaskKey, Process>,
     queue: Queue,
     register: Register,
@@ -83,9 +83,9 @@
 impl SlotScheduler {
     /// An upstream on which nothing runs.
     #[must_use]
-    pub fn new(setting: Setting) -> Self {
+    pub fn new(settings: Settings) -> Self {
         Self {
-            setting,
+            settings,
             running: HashMap::new(),
             queue: Queue::default(),
             register: Register::default(),
@@ -102,7 +102,7 @@
         ask: &SlotDemand,
         now: Duration,
     ) -> Vec<Verdict> {
-        self.register.expire(&self.setting, now);
+        self.register.expire(&self.settings, now);
         let verdicts = tasks
             .iter()
             .map(|task| self.start_one(entry, task, now))
@@ -125,7 +125,7 @@
 
     /// A running task ended, however it ended.
     pub fn finish(&mut self, key: &TaskKey, now: Duration) -> Finish {
-        self.register.expire(&self.setting, now);
+        self.register.expire(&self.settings, now);
         let entry = self.running.remove(key);
         let next = self.run_queued();
         let Some(entry) = entry else {
@@ -161,14 +161,14 @@
     /// The queued tasks to run and the grant frames to send now. Call after every event
     /// and at [`Self::next_poll`].
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
-        self.register.expire(&self.setting, now);
+        self.register.expire(&self.settings, now);
         let mut actions = Vec::new();
         while let Some((entry, key)) = self.run_queued() {
             actions.push(Action::Run { entry, key });
         }
         let mut granted: BTreeMap<Process, u16> = BTreeMap::new();
         while let Some(entry) = self.next_grant(now) {
-            self.register.of(&entry, now).give(now, self.setting.hold);
+            self.register.of(&entry, now).give(now, self.settings.hold);
             *granted.entry(entry).or_default() += 1;
         }
         for (entry, credit) in granted {
@@ -181,7 +181,7 @@
     /// When [`Self::poll`] has to be called at the latest, if no event comes before.
     #[must_use]
     pub fn next_poll(&self) -> Option<Duration> {
-        let patience = self.idle_since.map(|since| since + self.setting.patience);
+        let patience = self.idle_since.map(|since| since + self.settings.patience);
         let expiry = self.register.next_expiry();
         patience.into_iter().chain(expiry).min()
     }
@@ -212,7 +212,7 @@
             self.running.insert(key, entry.clone());
             return Verdict::Run;
         }
-        let has_place = task.may_wait && self.queue.len() < usize::from(self.setting.queue);
+        let has_place = task.may_wait && self.queue.len() < usize::from(self.settings.queue);
         if has_place {
             let due = Due::from_lateness(now, task.lateness);
             self.queue.push(entry, key, due);
@@ -223,7 +223,7 @@
 
     fn open(&self) -> u16 {
         let running = u16::try_from(self.running.len()).unwrap_or(u16::MAX);
-        self.setting
+        self.settings
             .slots
             .saturating_sub(running)
             .saturating_sub(self.register.credits())
@@ -245,7 +245,7 @@
             return false;
         };
         let queued = self.queue.first_due();
-        queued.is_some_and(|queued| first.due.plus(self.setting.slack) < queued)
+        queued.is_some_and(|queued| first.due.plus(self.settings.slack) < queued)
     }
 
     /// Gives the open slots to the outcome's entry, as far as no other entry's work is
@@ -256,12 +256,12 @@
             let Some((_, first)) = self.register.first() else {
                 break;
             };
-            let latest = first.due.plus(self.setting.slack);
+            let latest = first.due.plus(self.settings.slack);
             let own = self.register.of(entry, now);
             if own.waiting == 0 || own.due > latest {
                 break;
             }
-            own.give(now, self.setting.hold);
+            own.give(now, self.settings.hold);
             given += 1;
         }
         given
@@ -274,7 +274,7 @@
             return None;
         };
         let since = *self.idle_since.get_or_insert(now);
-        (now >= since + self.setting.patience).then_some(first)
+        (now >= since + self.settings.patience).then_some(first)
     }
 
     fn load(&mut self, entry: &Process, credit: u16, now: Duration) -> LoadReport {
--- a/crates/cassiarock-policy/src/slot/setting.rs
+++ b/crates/cassiarock-policy/src/slot/settings.rs
@@ -6,12 +6,12 @@
 /// Bounds and waiting times of a [`super::SlotScheduler`].
 ///
 /// ```
-/// use cassiarock_policy::slot::Setting;
-/// let setting = Setting::new(8).with_patience(std::time::Duration::ZERO);
-/// assert_eq!(setting.slots, 8);
+/// use cassiarock_policy::slot::Settings;
+/// let settings = Settings::new(8).with_patience(std::time::Duration::ZERO);
+/// assert_eq!(settings.slots, 8);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Setting {
+pub struct Settings {
     /// How many tasks run at once.
     pub slots: u16,
     /// How many starts wait here at most. At 8 slots and 250 ms a task that is a wait of 16 s.
@@ -32,7 +32,7 @@
     pub forget: Duration,
 }
 
-impl Setting {
+impl Settings {
     /// The defaults for an upstream with `slots` slots.
     #[must_use]
     pub const fn new(slots: u16) -> Self {
--- a/crates/cassiarock-policy/tests/admit.rs
+++ b/crates/cassiarock-policy/tests/admit.rs
@@ -2,7 +2,7 @@
 
 use cassiarock_id::{Job, Name, Process, Wall};
 use cassiarock_policy::admission::{
-    AdmissionController, AdmissionRequest, Answer, Reason, Setting, Share,
+    AdmissionController, AdmissionRequest, Answer, Reason, Settings, Share,
 };
 use std::collections::HashMap;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     )
 }
 
-fn gate(setting: Setting) -> AdmissionController {
+fn gate(setting: Settings) -> AdmissionController {
     let mut gate = AdmissionController::new(setting, 1);
     gate.set_slots(88);
     gate
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_job_that_cannot_end_in_time_is_refused_when_it_arrives() {
-    let mut gate = gate(Setting::default());
+    let mut gate = gate(Settings::default());
     let job = offer(1, "a", 860, secs(860)).with_deadline(secs(5));
     assert_eq!(reason(gate.admit(&job, secs(1))), Some(Reason::Late));
     let job = offer(1, "a", 860, secs(860)).with_deadline(secs(30));
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_small_job_is_admitted_while_large_ones_wait() {
-    let mut gate = gate(Setting::default());
+    let mut gate = gate(Settings::default());
     for bits in 0..3 {
         gate.admit(&offer(bits, "a", 860, secs(600)), secs(1));
     }
@@ -54,7 +54,7 @@
 
 #[test]
 fn the_bound_on_tasks_holds_and_ended_tasks_make_room() {
-    let mut gate = gate(Setting::default().with_tasks(100));
+    let mut gate = gate(Settings::default().with_tasks(100));
     assert_eq!(
         reason(gate.admit(&offer(1, "a", 100, secs(1)), secs(1))),
         None
@@ -70,7 +70,7 @@
 // between their visits the pool is idle.
 #[test]
 fn refused_callers_are_told_to_come_back_at_different_times() {
-    let mut gate = gate(Setting::default().with_patience(secs(1)));
+    let mut gate = gate(Settings::default().with_patience(secs(1)));
     let mut waits: Vec<Duration> = (0..200)
         .filter_map(
             |bits| match gate.admit(&offer(bits, "a", 200, secs(200)), secs(1)) {
@@ -99,7 +99,7 @@
     let names: Vec<Process> = (0..3)
         .map(|i| Process::new(format!("entry-{i}"), 1))
         .collect();
-    let mut gates: Vec<AdmissionController> = (0..3).map(|_| gate(Setting::default())).collect();
+    let mut gates: Vec<AdmissionController> = (0..3).map(|_| gate(Settings::default())).collect();
     let shares = HashMap::from([(Name::from("a"), share)]);
     gates
         .iter_mut()
@@ -132,7 +132,7 @@
 
 #[test]
 fn a_job_whose_deadline_is_out_of_reach_is_named() {
-    let mut gate = gate(Setting::default());
+    let mut gate = gate(Settings::default());
     let job = offer(1, "a", 860, secs(860)).with_deadline(secs(30));
     gate.admit(&job, secs(1));
     assert!(gate.infeasible_jobs(secs(10)).is_empty());
--- a/crates/cassiarock-policy/tests/cost.rs
+++ b/crates/cassiarock-policy/tests/cost.rs
@@ -2,7 +2,7 @@
 
 use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::LoadReport;
-use cassiarock_policy::place::{Action, Placer, ReadyTasks, Setting, TaskKey, Upstream};
+use cassiarock_policy::place::{Action, Placer, ReadyTasks, Settings, TaskKey, Upstream};
 use cassiarock_policy::{Due, PlacementPolicy};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
 
 impl Desk {
     fn new(upstreams: usize) -> Self {
-        let mut placer = Placer::new(Setting::new(PlacementPolicy::Credits), 1);
+        let mut placer = Placer::new(Settings::new(PlacementPolicy::Credits), 1);
         for index in 0..upstreams {
             let agent = Process::new(format!("agent-{index}"), 1);
             placer.add(Upstream::new(agent, 8));
--- a/crates/cassiarock-policy/tests/health.rs
+++ b/crates/cassiarock-policy/tests/health.rs
@@ -1,7 +1,7 @@
 //! Fault detection, outcome by outcome.
 
 use cassiarock_id::Process;
-use cassiarock_policy::health::{Monitor, Outcome, Setting};
+use cassiarock_policy::health::{Monitor, Outcome, Settings};
 use std::time::Duration;
 
 const GOOD: Outcome = Outcome::Done { slowness: 1.0 };
@@ -24,7 +24,7 @@
 }
 
 fn monitor() -> Monitor {
-    let mut monitor = Monitor::new(Setting::default());
+    let mut monitor = Monitor::new(Settings::default());
     (0..11).for_each(|index| monitor.add(agent(index)));
     monitor
 }
--- a/crates/cassiarock-policy/tests/model/world.rs
+++ b/crates/cassiarock-policy/tests/model/world.rs
@@ -18,8 +18,8 @@
     pub agents: usize,
     pub slots: u16,
     pub delay: Duration,
-    pub dispatch: dispatch::Setting,
-    pub slot: slot::Setting,
+    pub dispatch: dispatch::Settings,
+    pub slot: slot::Settings,
     pub seed: u64,
 }
 
@@ -30,8 +30,8 @@
             agents: 11,
             slots: 8,
             delay,
-            dispatch: dispatch::Setting::new(kind, Objective::default()),
-            slot: slot::Setting::new(8),
+            dispatch: dispatch::Settings::new(kind, Objective::default()),
+            slot: slot::Settings::new(8),
             seed: 1,
         }
     }
--- a/crates/cassiarock-policy/tests/place.rs
+++ b/crates/cassiarock-policy/tests/place.rs
@@ -3,7 +3,7 @@
 use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::{
-    Action, PlacedTask, Placer, ReadyTasks, Setting, TaskKey, Upstream,
+    Action, PlacedTask, Placer, ReadyTasks, Settings, TaskKey, Upstream,
 };
 use cassiarock_policy::{Due, PlacementPolicy};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 }
 
 fn placer(kind: PlacementPolicy, agents: usize) -> Placer {
-    let mut placer = Placer::new(Setting::new(kind), 3);
+    let mut placer = Placer::new(Settings::new(kind), 3);
     for index in 0..agents {
         placer.add(Upstream::new(agent(index), 8));
     }
--- a/crates/cassiarock-policy/tests/retry.rs
+++ b/crates/cassiarock-policy/tests/retry.rs
@@ -1,13 +1,13 @@
 //! The retry budget.
 
-use cassiarock_policy::retry::{Budget, RetrySafety, Setting};
+use cassiarock_policy::retry::{Budget, RetrySafety, Settings};
 use std::time::Duration;
 
 // A store behind all upstreams goes and every task fails. Each is tried again and again,
 // and the load of the tries keeps the upstreams from recovering.
 #[test]
 fn a_total_failure_adds_a_tenth_of_load_at_most() {
-    let setting = Setting::default();
+    let setting = Settings::default();
     let mut budget = Budget::new(setting, 1);
     (0..10_000).for_each(|_| budget.record_success());
     let retries = (0..10_000).filter(|_| budget.take(RetrySafety::Idempotent, 0).is_some());
@@ -19,15 +19,15 @@
 
 #[test]
 fn what_may_have_run_is_never_tried_again() {
-    let mut budget = Budget::new(Setting::default(), 1);
+    let mut budget = Budget::new(Settings::default(), 1);
     assert!((0..100).all(|_| budget.take(RetrySafety::Unproven, 0).is_none()));
 }
 
 #[test]
 fn retries_spread_and_back_off() {
-    let setting = Setting {
+    let setting = Settings {
         reserve: 2000.0,
-        ..Setting::default()
+        ..Settings::default()
     };
     let mut budget = Budget::new(setting, 1);
     let mut waits = |retry| -> Vec<Duration> {
--- a/crates/cassiarock-policy/tests/slot.rs
+++ b/crates/cassiarock-policy/tests/slot.rs
@@ -3,7 +3,7 @@
 use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::SlotDemand;
 use cassiarock_policy::place::{PlacedTask, TaskKey};
-use cassiarock_policy::slot::{Action, Setting, SlotScheduler, Verdict};
+use cassiarock_policy::slot::{Action, Settings, SlotScheduler, Verdict};
 use std::time::Duration;
 
 fn key(task: u16) -> TaskKey {
@@ -31,7 +31,7 @@
 }
 
 fn full_pool() -> SlotScheduler {
-    let mut pool = SlotScheduler::new(Setting::new(8));
+    let mut pool = SlotScheduler::new(Settings::new(8));
     let tasks: Vec<PlacedTask> = (0..8).map(placed).collect();
     let verdicts = pool.start(&entry("a"), &tasks, &SlotDemand::default(), ms(0));
     assert_eq!(verdicts, [Verdict::Run; 8]);
