--- a/crates/cassiarock-entry/src/run.rs
+++ b/crates/cassiarock-entry/src/run.rs
@@ -208,11 +208,11 @@
         .with_data_centre(settings.data_centre.clone());
     dispatch.admission = dispatch
         .admission
-        .with_tasks(policy.tasks)
-        .with_patience(policy.patience);
-    dispatch.admission.jobs = policy.jobs;
-    dispatch.health.withheld = policy.withheld_share;
-    dispatch.retry.share = policy.retry_share;
+        .with_max_tasks(policy.tasks)
+        .with_default_deadline(policy.patience);
+    dispatch.admission.max_jobs = policy.jobs;
+    dispatch.health.max_withheld_share = policy.withheld_share;
+    dispatch.retry.retries_per_success = policy.retry_share;
     Setting {
         me: process.clone(),
         data_centre: settings.data_centre.clone(),
--- a/crates/cassiarock-policy/src/admission/controller.rs
+++ b/crates/cassiarock-policy/src/admission/controller.rs
@@ -94,7 +94,7 @@
                 retry_after,
             };
         }
-        let burst = self.settings.burst;
+        let burst = self.settings.quota_burst;
         let ahead = self.teams.charge(&offer.team, work, self.slots, burst, now);
         self.keep(offer, work, now);
         let due = Estimator::due(now, offer.work, self.slots as usize);
@@ -148,7 +148,7 @@
 
     /// What another entry told.
     pub fn apply_usage(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
-        let burst = self.settings.burst;
+        let burst = self.settings.quota_burst;
         self.teams.hear(entry, usages, self.slots, burst, now);
     }
 
@@ -171,19 +171,24 @@
         now: Duration,
     ) -> Option<(Reason, f64)> {
         let backlog = self.backlog.total() / self.backlog.service();
-        if self.tasks + offer.tasks > self.settings.tasks || self.jobs.len() >= self.settings.jobs {
+        if self.tasks + offer.tasks > self.settings.max_tasks
+            || self.jobs.len() >= self.settings.max_jobs
+        {
             return Some((Reason::Full, backlog / 2.0));
         }
-        if let Some(wait) = self.teams.wait(&offer.team, self.settings.burst, now) {
+        if let Some(wait) = self.teams.wait(&offer.team, self.settings.quota_burst, now) {
             return Some((Reason::Quota, wait));
         }
         if self.slots == 0.0 {
             return None;
         }
-        let patience = offer.within.unwrap_or(self.settings.patience).as_secs_f64();
+        let patience = offer
+            .within
+            .unwrap_or(self.settings.default_deadline)
+            .as_secs_f64();
         // A team within its share is served before one that is ahead of its own, so the
         // other's backlog does not delay it.
-        let burst = self.settings.burst;
+        let burst = self.settings.quota_burst;
         let by_share = self
             .teams
             .end_by_share(&offer.team, work, self.slots, burst, now);
--- a/crates/cassiarock-policy/src/admission/settings.rs
+++ b/crates/cassiarock-policy/src/admission/settings.rs
@@ -6,35 +6,35 @@
 ///
 /// ```
 /// use cassiarock_policy::admission::Settings;
-/// let settings = Settings::default().with_tasks(1000);
-/// assert_eq!(settings.tasks, 1000);
+/// let settings = Settings::default().with_max_tasks(1000);
+/// assert_eq!(settings.max_tasks, 1000);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Tasks of admitted jobs at most, waiting and running. At 1 KB a task, 50,000 are
     /// 50 MB of an entry's 256 MB.
-    pub tasks: usize,
+    pub max_tasks: usize,
     /// Jobs admitted at most: each is a waiting HTTP request.
-    pub jobs: usize,
+    pub max_jobs: usize,
     /// The wait allowed to a job whose caller names no deadline.
-    pub patience: Duration,
+    pub default_deadline: Duration,
     /// How many seconds of its quota a team may save up and use in one burst.
-    pub burst: Duration,
+    pub quota_burst: Duration,
     /// The shortest wait before a refused caller comes again.
-    pub shortest: Duration,
+    pub min_retry_after: Duration,
     /// The longest such wait.
-    pub longest: Duration,
+    pub max_retry_after: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            tasks: 50_000,
-            jobs: 5000,
-            patience: Duration::from_secs(30),
-            burst: Duration::from_secs(10),
-            shortest: Duration::from_millis(200),
-            longest: Duration::from_secs(30),
+            max_tasks: 50_000,
+            max_jobs: 5000,
+            default_deadline: Duration::from_secs(30),
+            quota_burst: Duration::from_secs(10),
+            min_retry_after: Duration::from_millis(200),
+            max_retry_after: Duration::from_secs(30),
         }
     }
 }
@@ -42,15 +42,15 @@
 impl Settings {
     /// With another bound on tasks.
     #[must_use]
-    pub const fn with_tasks(mut self, tasks: usize) -> Self {
-        self.tasks = tasks;
+    pub const fn with_max_tasks(mut self, tasks: usize) -> Self {
+        self.max_tasks = tasks;
         self
     }
 
     /// With another patience.
     #[must_use]
-    pub const fn with_patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub const fn with_default_deadline(mut self, patience: Duration) -> Self {
+        self.default_deadline = patience;
         self
     }
 }
--- a/crates/cassiarock-policy/src/admission/spread.rs
+++ b/crates/cassiarock-policy/src/admission/spread.rs
@@ -39,11 +39,14 @@
         let passed = now.saturating_sub(self.decayed_at).as_secs_f64();
         self.decayed_at = now;
         self.refused = self.refused * (-passed / MEMORY).exp() + work;
-        let longest = settings.longest.as_secs_f64();
+        let longest = settings.max_retry_after.as_secs_f64();
         let wait = wait.clamp(0.0, longest / 2.0);
         let width = (self.refused / service).clamp(wait, longest - wait);
         let spread = Duration::from_secs_f64(wait + width * self.rng.random::<f64>());
         // Above the shortest wait, so that the bound itself does not line callers up.
-        spread + settings.shortest.mul_f64(1.0 + self.rng.random::<f64>())
+        spread
+            + settings
+                .min_retry_after
+                .mul_f64(1.0 + self.rng.random::<f64>())
     }
 }
--- a/crates/cassiarock-policy/src/dispatch/settings.rs
+++ b/crates/cassiarock-policy/src/dispatch/settings.rs
@@ -7,7 +7,7 @@
 /// ```
 /// use cassiarock_policy::{PlacementPolicy, Objective, dispatch::Settings};
 /// let settings = Settings::new(PlacementPolicy::Credits, Objective::Response);
-/// assert!(settings.place.reach > 0);
+/// assert!(settings.place.demands_per_task > 0);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
--- a/crates/cassiarock-policy/src/health/monitor.rs
+++ b/crates/cassiarock-policy/src/health/monitor.rs
@@ -96,13 +96,13 @@
             return Duration::ZERO;
         }
         let judged = self.judged_at.unwrap_or_default();
-        judged + self.settings.interval
+        judged + self.settings.evaluation_interval
     }
 
     /// Judges all upstreams; returns the shares that changed.
     pub fn evaluate(&mut self, now: Duration) -> Vec<(Process, f64)> {
         let last = self.judged_at;
-        let is_early = last.is_some_and(|last| now < last + self.settings.interval);
+        let is_early = last.is_some_and(|last| now < last + self.settings.evaluation_interval);
         if is_early && !self.is_urgent {
             return Vec::new();
         }
@@ -127,11 +127,11 @@
             record.is_proved(&self.settings) || record.is_failing_now(STREAK)
         });
         let faults = judged.filter_map(|(agent, record)| {
-            let fails = record.failing > self.settings.failing
+            let fails = record.failing > self.settings.max_failure_rate
                 && record.failing > FAILS_MORE * median_failing;
             let slowness = (record.slowness - median_slowness).exp();
             let badness = if fails { f64::INFINITY } else { slowness };
-            (fails || slowness > self.settings.slow).then(|| Fault {
+            (fails || slowness > self.settings.straggler_factor).then(|| Fault {
                 agent: agent.clone(),
                 fails,
                 badness,
@@ -146,7 +146,7 @@
     /// changes, else a share would go up and down with the noise.
     fn raise_the_good(&mut self, faults: &[Fault], now: Duration) {
         let median = median(self.records.values().map(|record| record.slowness));
-        let good = self.settings.slow.ln() / 2.0;
+        let good = self.settings.straggler_factor.ln() / 2.0;
         for (agent, record) in &mut self.records {
             let is_faulty = faults.iter().any(|fault| fault.agent == *agent);
             let is_good = !is_faulty && record.slowness - median < good;
@@ -159,7 +159,7 @@
 
     /// The worst first, until the bound on what is withheld.
     fn lower_the_faulty(&mut self, faults: Vec<Fault>, now: Duration) {
-        let bound = self.records.len() as f64 * self.settings.withheld;
+        let bound = self.records.len() as f64 * self.settings.max_withheld_share;
         for fault in faults {
             let withheld: f64 = self.records.values().map(|record| 1.0 - record.share).sum();
             let Some(record) = self.records.get_mut(&fault.agent) else {
--- a/crates/cassiarock-policy/src/health/record.rs
+++ b/crates/cassiarock-policy/src/health/record.rs
@@ -55,7 +55,7 @@
             ended: 0,
             streak: 0,
             paused_until: None,
-            pause: settings.pause,
+            pause: settings.initial_pause,
         }
     }
 
@@ -93,7 +93,7 @@
         self.share -= self.next_loss(at_once);
         if self.share <= 0.0 {
             self.paused_until = Some(now + self.pause);
-            self.pause = (self.pause * 2).min(settings.longest_pause);
+            self.pause = (self.pause * 2).min(settings.max_pause);
         }
     }
 
@@ -110,7 +110,7 @@
         }
         self.share = (self.share * 2.0).min(1.0);
         if self.share >= 1.0 {
-            self.pause = settings.pause;
+            self.pause = settings.initial_pause;
         }
     }
 
@@ -120,7 +120,7 @@
         let samples = if self.share < 1.0 {
             FEW_SAMPLES
         } else {
-            settings.samples
+            settings.min_samples
         };
         self.paused_until.is_none() && self.samples >= samples
     }
--- a/crates/cassiarock-policy/src/health/settings.rs
+++ b/crates/cassiarock-policy/src/health/settings.rs
@@ -7,35 +7,35 @@
 pub struct Settings {
     /// Time between judgements. Shares change by one step per judgement, so that a wrong
     /// one costs little before the next corrects it.
-    pub interval: Duration,
+    pub evaluation_interval: Duration,
     /// Tasks that must have ended since the last change before a judgement.
-    pub samples: u32,
+    pub min_samples: u32,
     /// Share of failed tasks above which an upstream is faulty, if it is also more than
     /// twice that of the others. A kind of task that fails everywhere is no upstream's
     /// fault.
-    pub failing: f64,
+    pub max_failure_rate: f64,
     /// How many times slower than the median upstream a straggler is.
-    pub slow: f64,
+    pub straggler_factor: f64,
     /// Share of the pool that may be withheld in all. A wrong detector, or a fault that
     /// all share, then leaves most of the pool in use.
-    pub withheld: f64,
+    pub max_withheld_share: f64,
     /// The first pause before an upstream without tasks is tried again. It doubles with
     /// each failed trial, so that one that flaps is tried less and less.
-    pub pause: Duration,
+    pub initial_pause: Duration,
     /// The longest pause.
-    pub longest_pause: Duration,
+    pub max_pause: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            interval: Duration::from_millis(500),
-            samples: 12,
-            failing: 0.4,
-            slow: 2.5,
-            withheld: 0.3,
-            pause: Duration::from_secs(5),
-            longest_pause: Duration::from_secs(160),
+            evaluation_interval: Duration::from_millis(500),
+            min_samples: 12,
+            max_failure_rate: 0.4,
+            straggler_factor: 2.5,
+            max_withheld_share: 0.3,
+            initial_pause: Duration::from_secs(5),
+            max_pause: Duration::from_secs(160),
         }
     }
 }
--- a/crates/cassiarock-policy/src/place/demand.rs
+++ b/crates/cassiarock-policy/src/place/demand.rs
@@ -32,7 +32,7 @@
 
 impl Book {
     pub(super) fn wake(&self, settings: &Settings) -> Duration {
-        self.started_at + settings.renew
+        self.started_at + settings.demand_interval
     }
 
     /// Credits arrived from an upstream that was asked.
@@ -45,12 +45,12 @@
     /// The next upstream to ask, if the round's demands are too few.
     pub(super) fn next(&mut self, pool: &mut Pool, queue: &Queue, now: Duration) -> Option<u32> {
         self.open_round(queue, &pool.settings, now);
-        let seekers = if pool.settings.ahead > 0 {
-            queue.seekers(pool.settings.few)
+        let seekers = if pool.settings.prefetch > 0 {
+            queue.seekers(pool.settings.small_job_tasks)
         } else {
             queue.len()
         };
-        let target = seekers * usize::from(pool.settings.reach);
+        let target = seekers * usize::from(pool.settings.demands_per_task);
         if self.asked >= target {
             return None;
         }
@@ -71,7 +71,7 @@
         index: u32,
         now: Duration,
     ) -> SlotDemand {
-        let want = if pool.settings.ahead > 0 {
+        let want = if pool.settings.prefetch > 0 {
             1
         } else {
             share(pool, queue, index)
@@ -88,7 +88,7 @@
         index: u32,
         now: Duration,
     ) -> SlotDemand {
-        if pool.settings.kind.queues_at_upstream() {
+        if pool.settings.policy.queues_at_upstream() {
             return SlotDemand::default();
         }
         self.open_round(queue, &pool.settings, now);
@@ -97,7 +97,7 @@
         } else {
             0
         };
-        if pool.settings.kind == crate::PlacementPolicy::Credits {
+        if pool.settings.policy == crate::PlacementPolicy::Credits {
             want = want.max(share(pool, queue, index));
         }
         if queue.len() == 0 {
@@ -115,7 +115,7 @@
         let mut actions = Vec::new();
         for index in pool.take_credited() {
             let contended = pool.get(index).is_some_and(|view| view.load.contended);
-            if !contended || pool.settings.kind != crate::PlacementPolicy::Probes {
+            if !contended || pool.settings.policy != crate::PlacementPolicy::Probes {
                 pool.keep_credited(index);
                 continue;
             }
@@ -139,7 +139,7 @@
             (Some(first), Some(told)) => first.plus(SOONER) < told,
             _ => true,
         };
-        let old = now.saturating_sub(self.started_at) >= settings.renew;
+        let old = now.saturating_sub(self.started_at) >= settings.demand_interval;
         if sooner || old {
             self.round += 1;
             self.asked = 0;
@@ -190,7 +190,7 @@
 /// How many slots to ask of one upstream: the waiting tasks spread over those usable,
 /// `reach` times over, at most all its slots.
 fn share(pool: &Pool, queue: &Queue, index: u32) -> u16 {
-    let wanted = queue.len() * usize::from(pool.settings.reach.max(1));
+    let wanted = queue.len() * usize::from(pool.settings.demands_per_task.max(1));
     let each = wanted.div_ceil(pool.usable().len().max(1));
     let slots = pool.get(index).map_or(0, |view| view.upstream.slots);
     u16::try_from(each).unwrap_or(u16::MAX).min(slots)
--- a/crates/cassiarock-policy/src/place/placer.rs
+++ b/crates/cassiarock-policy/src/place/placer.rs
@@ -237,7 +237,7 @@
         if self.pool.settings.tries_stale() {
             self.probe_stale(now, &mut actions);
         }
-        if !self.pool.settings.kind.queues_at_upstream() {
+        if !self.pool.settings.policy.queues_at_upstream() {
             self.seek(now, &mut actions);
         }
         actions.extend(self.book.give_back(&mut self.pool, &self.queue));
@@ -253,7 +253,7 @@
         Some(
             self.book
                 .wake(&self.pool.settings)
-                .min(self.polled_at + self.pool.settings.stale),
+                .min(self.polled_at + self.pool.settings.load_max_age),
         )
     }
 
@@ -283,8 +283,8 @@
         for (job, due, avoid) in self.queue.front(LOOK_PAST) {
             let avoid = avoid.and_then(|agent| self.pool.index(agent));
             let found = self.pool.pick(avoid);
-            let seeks = self.pool.settings.reach > 0
-                && self.queue.waiting_of(job) <= self.pool.settings.few;
+            let seeks = self.pool.settings.demands_per_task > 0
+                && self.queue.waiting_of(job) <= self.pool.settings.small_job_tasks;
             let found = found.or_else(|| {
                 if seeks {
                     return None;
@@ -318,12 +318,12 @@
     /// Whether a task that is being sent may wait at the upstream.
     fn may_wait(&self, index: u32, job: Job) -> bool {
         let settings = &self.pool.settings;
-        if settings.kind != PlacementPolicy::Credits {
-            return settings.kind.queues_at_upstream();
+        if settings.policy != PlacementPolicy::Credits {
+            return settings.policy.queues_at_upstream();
         }
         let believed_open = self.pool.get(index).is_some_and(|view| view.open() > 0);
-        let is_few = self.queue.waiting_of(job) < settings.few;
-        settings.ahead > 0 && !(believed_open && is_few && settings.reach > 0)
+        let is_few = self.queue.waiting_of(job) < settings.small_job_tasks;
+        settings.prefetch > 0 && !(believed_open && is_few && settings.demands_per_task > 0)
     }
 
     fn land(&mut self, key: &TaskKey) -> Option<Flight> {
@@ -357,7 +357,7 @@
 
     fn trial(&mut self, index: u32, now: Duration) -> Option<PlacedTask> {
         let view = self.pool.get(index)?;
-        if !view.is_stale(now, self.pool.settings.stale) {
+        if !view.is_stale(now, self.pool.settings.load_max_age) {
             return None;
         }
         let (job, _, avoid) = self.queue.front(1).next()?;
--- a/crates/cassiarock-policy/src/place/pool.rs
+++ b/crates/cassiarock-policy/src/place/pool.rs
@@ -133,7 +133,7 @@
 
     /// Forgets credits that the agents have let expire.
     pub(super) fn expire_credits(&mut self, now: Duration) {
-        let hold = self.settings.hold;
+        let hold = self.settings.credit_lifetime;
         for index in self.take_credited() {
             let expired = self.change(index, |view| {
                 let expired = now.saturating_sub(view.credit_at) >= hold;
@@ -158,7 +158,7 @@
 
     /// An upstream with room that is not `avoid`.
     pub(super) fn pick(&mut self, avoid: Option<u32>) -> Option<u32> {
-        if self.settings.kind == PlacementPolicy::Random {
+        if self.settings.policy == PlacementPolicy::Random {
             return self.draw(avoid);
         }
         let first = self.draw(avoid)?;
@@ -169,7 +169,7 @@
     /// An upstream where a task due at `due` may wait ahead of this entry's other tasks:
     /// of a few drawn, the one with the fewest own tasks before it, then the least loaded.
     pub(super) fn pick_ahead(&mut self, due: Due, avoid: Option<u32>) -> Option<u32> {
-        if self.settings.kind != PlacementPolicy::Credits || self.settings.ahead == 0 {
+        if self.settings.policy != PlacementPolicy::Credits || self.settings.prefetch == 0 {
             return None;
         }
         let mut best: Option<((i64, i64), u32)> = None;
@@ -178,7 +178,7 @@
             let Some(view) = self.get(index) else {
                 continue;
             };
-            let room = view.room_before(due, self.settings.ahead);
+            let room = view.room_before(due, self.settings.prefetch);
             let rank = (room, -view.believed());
             let is_better = best.is_none_or(|(most, _)| rank > most);
             if room > 0 && is_better && Some(index) != avoid {
@@ -210,7 +210,7 @@
     }
 
     fn room(&self, view: &View) -> i64 {
-        view.room(self.settings.kind, self.settings.bound)
+        view.room(self.settings.policy, self.settings.max_outstanding)
     }
 
     fn refresh(&mut self, index: u32) {
--- a/crates/cassiarock-policy/src/place/settings.rs
+++ b/crates/cassiarock-policy/src/place/settings.rs
@@ -8,33 +8,33 @@
 ///
 /// ```
 /// use cassiarock_policy::{PlacementPolicy, place::Settings};
-/// let settings = Settings::new(PlacementPolicy::Credits).with_reach(2);
-/// assert_eq!(settings.reach, 2);
+/// let settings = Settings::new(PlacementPolicy::Credits).with_demands_per_task(2);
+/// assert_eq!(settings.demands_per_task, 2);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The policy.
-    pub kind: PlacementPolicy,
+    pub policy: PlacementPolicy,
     /// At how many upstreams a task asks for a slot that finds none open. More of them
     /// find one sooner; each costs a frame, and perhaps a grant that comes too late.
-    pub reach: u16,
+    pub demands_per_task: u16,
     /// A job with at most this many waiting tasks asks for slots rather than wait at one
     /// upstream, if none is open.
-    pub few: usize,
+    pub small_job_tasks: usize,
     /// How many tasks may be bound beyond the free slots of one upstream, ahead of the
     /// slots' becoming free. Tasks that are due later do not count against it.
-    pub ahead: u16,
+    pub prefetch: u16,
     /// How many tasks may be bound to one upstream in all, for the kinds that queue
     /// there: its slots and its queue.
-    pub bound: u16,
+    pub max_outstanding: u16,
     /// How long the load heard from an upstream counts. Older news are as good as none:
     /// most tasks end within a second, so that the slots have changed hands since.
-    pub stale: Duration,
+    pub load_max_age: Duration,
     /// How long to wait for the answer to a demand before it is sent again.
-    pub renew: Duration,
+    pub demand_interval: Duration,
     /// How long a credit is used at most. The agents keep it a little longer, see
-    /// [`crate::slot::Settings::hold`].
-    pub hold: Duration,
+    /// [`crate::slot::Settings::credit_lifetime`].
+    pub credit_lifetime: Duration,
     /// The entry's own data centre, preferred between equals.
     pub data_centre: Name,
 }
@@ -44,22 +44,22 @@
     #[must_use]
     pub fn new(kind: PlacementPolicy) -> Self {
         Self {
-            kind,
-            few: 0,
-            reach: if matches!(kind, PlacementPolicy::Probes) {
+            policy: kind,
+            small_job_tasks: 0,
+            demands_per_task: if matches!(kind, PlacementPolicy::Probes) {
                 3
             } else {
                 0
             },
-            ahead: if matches!(kind, PlacementPolicy::Credits) {
+            prefetch: if matches!(kind, PlacementPolicy::Credits) {
                 4
             } else {
                 0
             },
-            bound: 512,
-            stale: Duration::from_millis(100),
-            renew: Duration::from_millis(250),
-            hold: Duration::from_millis(4),
+            max_outstanding: 512,
+            load_max_age: Duration::from_millis(100),
+            demand_interval: Duration::from_millis(250),
+            credit_lifetime: Duration::from_millis(4),
             data_centre: Name::from(""),
         }
     }
@@ -67,10 +67,10 @@
     /// With the effort that `weight` justifies, for [`PlacementPolicy::Credits`].
     #[must_use]
     pub const fn with_objective(mut self, weight: Objective) -> Self {
-        if !matches!(self.kind, PlacementPolicy::Credits) {
+        if !matches!(self.policy, PlacementPolicy::Credits) {
             return self;
         }
-        (self.few, self.reach) = match weight {
+        (self.small_job_tasks, self.demands_per_task) = match weight {
             Objective::Messages => (0, 0),
             Objective::Response => (20, 3),
         };
@@ -81,21 +81,21 @@
     /// task may wait ahead, since news then come only from upstreams that have room.
     #[must_use]
     pub(super) const fn tries_stale(&self) -> bool {
-        self.kind.queues_at_upstream()
-            || (matches!(self.kind, PlacementPolicy::Credits) && self.ahead == 0)
+        self.policy.queues_at_upstream()
+            || (matches!(self.policy, PlacementPolicy::Credits) && self.prefetch == 0)
     }
 
     /// With another `reach`.
     #[must_use]
-    pub const fn with_reach(mut self, reach: u16) -> Self {
-        self.reach = reach;
+    pub const fn with_demands_per_task(mut self, reach: u16) -> Self {
+        self.demands_per_task = reach;
         self
     }
 
     /// With another `ahead`.
     #[must_use]
-    pub const fn with_ahead(mut self, ahead: u16) -> Self {
-        self.ahead = ahead;
+    pub const fn with_prefetch(mut self, ahead: u16) -> Self {
+        self.prefetch = ahead;
         self
     }
 
--- a/crates/cassiarock-policy/src/retry/budget.rs
+++ b/crates/cassiarock-policy/src/retry/budget.rs
@@ -20,23 +20,23 @@
 pub struct Settings {
     /// Retries allowed per success. At a tenth, a total failure of all upstreams raises
     /// the load by a tenth at most, where unbounded retries would multiply it.
-    pub share: f64,
+    pub retries_per_success: f64,
     /// Retries that may be saved up, and that a new entry has: enough for the tasks of
     /// one upstream that dies.
     pub reserve: f64,
     /// The longest wait before the first retry; doubles with each further one.
-    pub base: Duration,
+    pub base_delay: Duration,
     /// The longest wait before any retry. Above it the caller's deadline decides.
-    pub longest: Duration,
+    pub max_delay: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            share: 0.1,
+            retries_per_success: 0.1,
             reserve: 64.0,
-            base: Duration::from_millis(20),
-            longest: Duration::from_secs(2),
+            base_delay: Duration::from_millis(20),
+            max_delay: Duration::from_secs(2),
         }
     }
 }
@@ -74,7 +74,7 @@
 
     /// A task succeeded.
     pub fn record_success(&mut self) {
-        self.left = (self.left + self.settings.share).min(self.settings.reserve);
+        self.left = (self.left + self.settings.retries_per_success).min(self.settings.reserve);
     }
 
     /// How long to wait before retry number `retry` (0 is the first); `None` if there is
@@ -85,8 +85,8 @@
         }
         self.left -= 1.0;
         let factor = 2_u32.saturating_pow(retry.min(16));
-        let longest = self.settings.base.saturating_mul(factor);
-        let longest = longest.min(self.settings.longest);
+        let longest = self.settings.base_delay.saturating_mul(factor);
+        let longest = longest.min(self.settings.max_delay);
         Some(longest.mul_f64(self.rng.random()))
     }
 }
--- a/crates/cassiarock-policy/src/slot/demand.rs
+++ b/crates/cassiarock-policy/src/slot/demand.rs
@@ -87,7 +87,7 @@
             if demand.credit > 0 && now >= demand.credit_until {
                 demand.credit = 0;
             }
-            if now.saturating_sub(demand.asked_at) >= settings.forget {
+            if now.saturating_sub(demand.asked_at) >= settings.demand_lifetime {
                 demand.waiting = 0;
             }
         }
--- a/crates/cassiarock-policy/src/slot/scheduler.rs
+++ b/crates/cassiarock-policy/src/slot/scheduler.rs
@@ -168,7 +168,9 @@
         }
         let mut granted: BTreeMap<Process, u16> = BTreeMap::new();
         while let Some(entry) = self.next_grant(now) {
-            self.register.of(&entry, now).give(now, self.settings.hold);
+            self.register
+                .of(&entry, now)
+                .give(now, self.settings.credit_lifetime);
             *granted.entry(entry).or_default() += 1;
         }
         for (entry, credit) in granted {
@@ -181,7 +183,9 @@
     /// When [`Self::poll`] has to be called at the latest, if no event comes before.
     #[must_use]
     pub fn next_poll(&self) -> Option<Duration> {
-        let patience = self.idle_since.map(|since| since + self.settings.patience);
+        let patience = self
+            .idle_since
+            .map(|since| since + self.settings.piggyback_wait);
         let expiry = self.register.next_expiry();
         patience.into_iter().chain(expiry).min()
     }
@@ -212,7 +216,8 @@
             self.running.insert(key, entry.clone());
             return Verdict::Run;
         }
-        let has_place = task.may_wait && self.queue.len() < usize::from(self.settings.queue);
+        let has_place =
+            task.may_wait && self.queue.len() < usize::from(self.settings.queue_capacity);
         if has_place {
             let due = Due::from_lateness(now, task.lateness);
             self.queue.push(entry, key, due);
@@ -261,7 +266,7 @@
             if own.waiting == 0 || own.due > latest {
                 break;
             }
-            own.give(now, self.settings.hold);
+            own.give(now, self.settings.credit_lifetime);
             given += 1;
         }
         given
@@ -274,7 +279,7 @@
             return None;
         };
         let since = *self.idle_since.get_or_insert(now);
-        (now >= since + self.settings.patience).then_some(first)
+        (now >= since + self.settings.piggyback_wait).then_some(first)
     }
 
     fn load(&mut self, entry: &Process, credit: u16, now: Duration) -> LoadReport {
--- a/crates/cassiarock-policy/tests/admit.rs
+++ b/crates/cassiarock-policy/tests/admit.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn the_bound_on_tasks_holds_and_ended_tasks_make_room() {
-    let mut gate = gate(Settings::default().with_tasks(100));
+    let mut gate = gate(Settings::default().with_max_tasks(100));
     assert_eq!(
         reason(gate.admit(&offer(1, "a", 100, secs(1)), secs(1))),
         None
@@ -70,7 +70,7 @@
 // between their visits the pool is idle.
 #[test]
 fn refused_callers_are_told_to_come_back_at_different_times() {
-    let mut gate = gate(Settings::default().with_patience(secs(1)));
+    let mut gate = gate(Settings::default().with_default_deadline(secs(1)));
     let mut waits: Vec<Duration> = (0..200)
         .filter_map(
             |bits| match gate.admit(&offer(bits, "a", 200, secs(200)), secs(1)) {
--- a/crates/cassiarock-policy/tests/retry.rs
+++ b/crates/cassiarock-policy/tests/retry.rs
@@ -38,10 +38,10 @@
     let (first, fifth) = (waits(0), waits(4));
     let early = first
         .iter()
-        .filter(|wait| **wait < setting.base / 2)
+        .filter(|wait| **wait < setting.base_delay / 2)
         .count();
     assert!((70..130).contains(&early), "{early}");
     let sum = |waits: &[Duration]| waits.iter().sum::<Duration>();
     assert!(sum(&fifth) > 10 * sum(&first));
-    assert!(waits(40).iter().all(|wait| *wait <= setting.longest));
+    assert!(waits(40).iter().all(|wait| *wait <= setting.max_delay));
 }
--- a/crates/cassiarock-policy/tests/scenarios.rs
+++ b/crates/cassiarock-policy/tests/scenarios.rs
@@ -104,7 +104,7 @@
     let late = |watches: bool| {
         let mut shape = shape(PlacementPolicy::Credits);
         if !watches {
-            shape.dispatch.health.withheld = 0.0;
+            shape.dispatch.health.max_withheld_share = 0.0;
         }
         let mut world = World::new(shape, &jobs).with_fault(secs(2), 4, Fault::Slow(5.0));
         world.run(secs(300));
