--- a/crates/cassiarock-entry/src/state/calls.rs
+++ b/crates/cassiarock-entry/src/state/calls.rs
@@ -246,7 +246,7 @@
         .with_need(need.fold(Resources::default(), Resources::max))
         .with_deadline(within);
     match declared {
-        Some(declared) => offered.with_declared(declared),
+        Some(declared) => offered.with_declared_run_time(declared),
         None => offered,
     }
 }
--- a/crates/cassiarock-policy/src/admission/controller.rs
+++ b/crates/cassiarock-policy/src/admission/controller.rs
@@ -171,7 +171,7 @@
         now: Duration,
     ) -> Option<(Reason, f64)> {
         let backlog = self.backlog.total() / self.backlog.service();
-        if self.tasks + offer.tasks > self.settings.max_tasks
+        if self.tasks + offer.task_count > self.settings.max_tasks
             || self.jobs.len() >= self.settings.max_jobs
         {
             return Some((Reason::Full, backlog / 2.0));
@@ -183,7 +183,7 @@
             return None;
         }
         let patience = offer
-            .within
+            .time_left
             .unwrap_or(self.settings.default_deadline)
             .as_secs_f64();
         // A team within its share is served before one that is ahead of its own, so the
@@ -198,13 +198,13 @@
     }
 
     fn keep(&mut self, offer: &AdmissionRequest, work: f64, now: Duration) {
-        self.tasks += offer.tasks;
+        self.tasks += offer.task_count;
         self.backlog.add(work);
         let admitted = Admitted {
-            tasks: offer.tasks,
+            tasks: offer.task_count,
             work,
-            each: work / offer.tasks.max(1) as f64,
-            deadline: offer.within.map(|within| now + within),
+            each: work / offer.task_count.max(1) as f64,
+            deadline: offer.time_left.map(|within| now + within),
         };
         self.jobs.insert(offer.job, admitted);
     }
--- a/crates/cassiarock-policy/src/admission/request.rs
+++ b/crates/cassiarock-policy/src/admission/request.rs
@@ -12,7 +12,7 @@
 /// use std::time::Duration;
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let offer = AdmissionRequest::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
-/// assert_eq!(offer.within, None);
+/// assert_eq!(offer.time_left, None);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionRequest {
@@ -21,30 +21,30 @@
     /// Whose quota it uses.
     pub team: Name,
     /// How many tasks it has.
-    pub tasks: usize,
+    pub task_count: usize,
     /// Their expected run time in all.
     pub work: Duration,
     /// The time left until its caller's deadline.
-    pub within: Option<Duration>,
+    pub time_left: Option<Duration>,
 }
 
 impl AdmissionRequest {
     /// A job without a deadline.
     #[must_use]
-    pub const fn new(job: Job, team: Name, tasks: usize, work: Duration) -> Self {
+    pub const fn new(job: Job, team: Name, task_count: usize, work: Duration) -> Self {
         Self {
             job,
             team,
-            tasks,
+            task_count,
             work,
-            within: None,
+            time_left: None,
         }
     }
 
     /// With a deadline.
     #[must_use]
-    pub const fn with_deadline(mut self, within: Duration) -> Self {
-        self.within = Some(within);
+    pub const fn with_deadline(mut self, time_left: Duration) -> Self {
+        self.time_left = Some(time_left);
         self
     }
 }
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -133,13 +133,13 @@
                 retry_after: None,
             };
         }
-        let run = self.estimate.run_time(&job.kind, job.declared);
+        let run = self.estimate.run_time(&job.kind, job.declared_run_time);
         let offer = AdmissionRequest {
             job: job.job,
             team: job.team.clone(),
-            tasks: job.tasks,
-            work: run.saturating_mul(u32::try_from(job.tasks).unwrap_or(u32::MAX)),
-            within: job.within,
+            task_count: job.task_count,
+            work: run.saturating_mul(u32::try_from(job.task_count).unwrap_or(u32::MAX)),
+            time_left: job.time_left,
         };
         match self.gate.admit(&offer, now) {
             admission::Answer::Admit(due) => self.keep(job, due),
@@ -301,7 +301,7 @@
         let admitted = Admitted {
             due,
             kind: job.kind.clone(),
-            declared: job.declared,
+            declared: job.declared_run_time,
         };
         self.jobs.insert(job.job, admitted);
         Answer::Admit
--- a/crates/cassiarock-policy/src/dispatch/submission.rs
+++ b/crates/cassiarock-policy/src/dispatch/submission.rs
@@ -12,7 +12,7 @@
 /// use cassiarock_policy::dispatch::Submission;
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let job = Submission::new(id, Name::from("valley-3"), Name::from("seat-check"), 1);
-/// assert_eq!(job.declared, None);
+/// assert_eq!(job.declared_run_time, None);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
@@ -23,34 +23,34 @@
     /// The kind of its tasks.
     pub kind: Name,
     /// How many tasks it has.
-    pub tasks: usize,
+    pub task_count: usize,
     /// The run time that the caller declares for one task.
-    pub declared: Option<Duration>,
+    pub declared_run_time: Option<Duration>,
     /// What the caller declares that one task needs.
     pub need: Resources,
     /// The time left until the caller's deadline.
-    pub within: Option<Duration>,
+    pub time_left: Option<Duration>,
 }
 
 impl Submission {
     /// A job that declares nothing.
     #[must_use]
-    pub const fn new(job: Job, team: Name, kind: Name, tasks: usize) -> Self {
+    pub const fn new(job: Job, team: Name, kind: Name, task_count: usize) -> Self {
         Self {
             job,
             team,
             kind,
-            tasks,
-            declared: None,
+            task_count,
+            declared_run_time: None,
             need: Resources::new(0, 0, 0),
-            within: None,
+            time_left: None,
         }
     }
 
     /// With a declared run time per task.
     #[must_use]
-    pub const fn with_declared(mut self, declared: Duration) -> Self {
-        self.declared = Some(declared);
+    pub const fn with_declared_run_time(mut self, run_time: Duration) -> Self {
+        self.declared_run_time = Some(run_time);
         self
     }
 
@@ -63,8 +63,8 @@
 
     /// With a deadline.
     #[must_use]
-    pub const fn with_deadline(mut self, within: Duration) -> Self {
-        self.within = Some(within);
+    pub const fn with_deadline(mut self, time_left: Duration) -> Self {
+        self.time_left = Some(time_left);
         self
     }
 }
--- a/crates/cassiarock-policy/tests/model/entry.rs
+++ b/crates/cassiarock-policy/tests/model/entry.rs
@@ -41,7 +41,7 @@
         let kind = Name::from(format!("kind-{}", job.kind));
         let tasks = job.runs.len();
         let submission = Submission::new(id(index), team, kind, tasks)
-            .with_declared(job.declared)
+            .with_declared_run_time(job.declared)
             .with_deadline(job.within);
         let answer = self.dispatcher.admit(&submission, now);
         if answer == Answer::Admit {
