--- a/crates/cassiarock-policy/examples/model.rs
+++ b/crates/cassiarock-policy/examples/model.rs
@@ -6,7 +6,7 @@
 mod model;
 
 use cassiarock_policy::{Objective, PlacementPolicy};
-use model::load::{ANDES, ICELAND, Job, Kind as Mix, arrivals};
+use model::load::{ANDES, ICELAND, Job, JobClass, arrivals};
 use model::reference::{Order, omniscient};
 use model::report::{Spread, goodput, ideals, means, over};
 use model::world::{End, Fault, Shape, World};
@@ -81,7 +81,7 @@
 }
 
 fn main() {
-    let deployments: [(&str, &[Mix], Duration); 2] = [
+    let deployments: [(&str, &[JobClass], Duration); 2] = [
         ("andes", &ANDES, Duration::from_micros(500)),
         ("iceland", &ICELAND, Duration::from_micros(1000)),
     ];
@@ -134,7 +134,14 @@
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|");
 }
 
-fn print(name: &str, policy: &str, mix: &[Mix], load: f64, shape: &Shape, scenario: &Scenario) {
+fn print(
+    name: &str,
+    policy: &str,
+    mix: &[JobClass],
+    load: f64,
+    shape: &Shape,
+    scenario: &Scenario,
+) {
     let lines: Vec<Line> = (0..SEEDS)
         .map(|seed| {
             let mut jobs = arrivals(mix, load, SLOTS, 3, 0.0, LENGTH, seed);
--- a/crates/cassiarock-policy/tests/model/load.rs
+++ b/crates/cassiarock-policy/tests/model/load.rs
@@ -30,14 +30,14 @@
 
 /// A kind of job: how often, how many tasks, how long each.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct JobClass {
     pub share: f64,
     pub tasks: (f64, f64),
     pub millis: (f64, f64),
 }
 
-const fn kind(share: f64, tasks: (f64, f64), millis: (f64, f64)) -> Kind {
-    Kind {
+const fn class(share: f64, tasks: (f64, f64), millis: (f64, f64)) -> JobClass {
+    JobClass {
         share,
         tasks,
         millis,
@@ -45,25 +45,25 @@
 }
 
 /// Seat checks, assignments of a morning, waves, a few long tasks.
-pub const ANDES: [Kind; 4] = [
-    kind(0.55, (1.0, 1.0), (50.0, 200.0)),
-    kind(0.35, (8.0, 60.0), (100.0, 1000.0)),
-    kind(0.08, (100.0, 860.0), (50.0, 300.0)),
-    kind(0.02, (1.0, 4.0), (2000.0, 6000.0)),
+pub const ANDES: [JobClass; 4] = [
+    class(0.55, (1.0, 1.0), (50.0, 200.0)),
+    class(0.35, (8.0, 60.0), (100.0, 1000.0)),
+    class(0.08, (100.0, 860.0), (50.0, 300.0)),
+    class(0.02, (1.0, 4.0), (2000.0, 6000.0)),
 ];
 
 /// Sign-offs, alerts, audit packs, a few long tasks.
-pub const ICELAND: [Kind; 4] = [
-    kind(0.60, (1.0, 1.0), (50.0, 150.0)),
-    kind(0.15, (1.0, 5.0), (100.0, 400.0)),
-    kind(0.23, (20.0, 860.0), (100.0, 1000.0)),
-    kind(0.02, (1.0, 4.0), (2000.0, 5000.0)),
+pub const ICELAND: [JobClass; 4] = [
+    class(0.60, (1.0, 1.0), (50.0, 150.0)),
+    class(0.15, (1.0, 5.0), (100.0, 400.0)),
+    class(0.23, (20.0, 860.0), (100.0, 1000.0)),
+    class(0.02, (1.0, 4.0), (2000.0, 5000.0)),
 ];
 
 /// Arrivals of `mix` at `load` of `slots` slots for `length`, spread over the entries
 /// by `skew`: 0 evenly, 1 all at the first.
 pub fn arrivals(
-    mix: &[Kind],
+    mix: &[JobClass],
     load: f64,
     slots: usize,
     entries: usize,
@@ -104,7 +104,7 @@
     }
 }
 
-fn pick(mix: &[Kind], mut draw: f64) -> usize {
+fn pick(mix: &[JobClass], mut draw: f64) -> usize {
     for (index, kind) in mix.iter().enumerate() {
         if draw < kind.share {
             return index;
--- a/examples/bench/args.rs
+++ b/examples/bench/args.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::load::{ANDES, ICELAND, Job, Kind as Mix, arrivals};
+use crate::load::{ANDES, ICELAND, Job, JobClass, arrivals};
 use crate::scenario::Scenario;
 use bpaf::{Parser, construct, long};
 use cassiarock_policy::{Objective, PlacementPolicy};
@@ -35,7 +35,7 @@
         }
     }
 
-    const fn mix(self) -> &'static [Mix] {
+    const fn mix(self) -> &'static [JobClass] {
         match self {
             Self::Andes => &ANDES,
             Self::Iceland => &ICELAND,
