--- a/crates/cassiarock-policy/src/objective.rs
+++ b/crates/cassiarock-policy/src/objective.rs
@@ -1,14 +1,14 @@
-//! The settings between the two measures.
+//! What placement optimizes for.
 
 use serde::{Deserialize, Serialize};
 
-/// What the placement spends on finding a slot sooner.
+/// Whether placement sends few messages or starts tasks sooner.
 ///
 /// ```
-/// use cassiarock_policy::{PlacementPolicy, Objective, place, slot};
+/// use cassiarock_policy::{Objective, PlacementPolicy, place, slot};
 /// let entry = place::Settings::new(PlacementPolicy::Credits).with_objective(Objective::Response);
 /// let agent = slot::Settings::new(8).with_objective(Objective::Response);
-/// assert!(entry.reach > 0);
+/// assert!(entry.demands_per_task > 0);
 /// assert!(agent.slack < slot::Settings::new(8).slack);
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
@@ -17,7 +17,7 @@
     /// Few messages: a task that finds no open slot waits at one upstream.
     #[default]
     Messages,
-    /// Short response: the tasks of small jobs, and the last ones of large jobs, ask
-    /// several upstreams and take the first slot.
+    /// Short response times: for the tasks of small jobs, and the last ones of large jobs,
+    /// several upstreams are asked for a slot, and the first to grant one gets the task.
     Response,
 }
