--- a/crates/cassiarock-entry/src/run.rs
+++ b/crates/cassiarock-entry/src/run.rs
@@ -202,17 +202,17 @@
 
 fn setting(settings: &settings::Entry, process: &Process) -> Setting {
     let policy = &settings.policy;
-    let mut dispatch = dispatch::Setting::new(policy.placement, policy.weight);
+    let mut dispatch = dispatch::Settings::new(policy.placement, policy.weight);
     dispatch.place = dispatch
         .place
         .with_data_centre(settings.data_centre.clone());
-    dispatch.admit = dispatch
-        .admit
-        .with_tasks(policy.tasks)
-        .with_patience(policy.patience);
-    dispatch.admit.jobs = policy.jobs;
-    dispatch.health.withheld = policy.withheld_share;
-    dispatch.retry.share = policy.retry_share;
+    dispatch.admission = dispatch
+        .admission
+        .with_max_tasks(policy.tasks)
+        .with_default_deadline(policy.patience);
+    dispatch.admission.max_jobs = policy.jobs;
+    dispatch.health.max_withheld_share = policy.withheld_share;
+    dispatch.retry.retries_per_success = policy.retry_share;
     Setting {
         me: process.clone(),
         data_centre: settings.data_centre.clone(),
--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -4,9 +4,9 @@
 use super::{Action, State};
 use cassiarock_claim::owner::Event;
 use cassiarock_id::{Job, Process};
-use cassiarock_policy::note::Load;
+use cassiarock_policy::load::LoadReport;
 use cassiarock_policy::place::Upstream;
-use cassiarock_policy::size::Need;
+use cassiarock_policy::size::Resources;
 use cassiarock_process::Now;
 use cassiarock_rule as rule;
 use cassiarock_wire::{Frame, Ping, Pong};
@@ -22,14 +22,14 @@
         let slots = u16::try_from(member.slots).unwrap_or(u16::MAX);
         let upstream = Upstream::new(agent.clone(), slots)
             .with_location(member.data_centre.clone(), member.rack.clone());
-        let has = member.has.as_ref().map_or(Need::MOST, need);
+        let has = member.has.as_ref().map_or(Resources::UNLIMITED, need);
         let (pool, leaving) = (member.pool.clone(), member.leaving);
         self.agents.insert(agent.clone(), pool.clone());
         self.silent.remove(agent);
         let pool = self.pool(&pool);
         pool.add(upstream, has);
         if leaving {
-            pool.leave(agent);
+            pool.start_leaving(agent);
         }
         self.step_all(&Event::AgentReachable(agent.clone()), now)
     }
@@ -38,7 +38,7 @@
     /// agent answers again, or is known to have ended.
     pub(crate) fn unlink_agent(&mut self, agent: &Process, now: Now) -> Vec<Action> {
         if let Some(pool) = self.pool_of(agent) {
-            pool.lose(agent);
+            pool.disconnect(agent);
         }
         self.agents.remove(agent);
         self.note_silent(now);
@@ -59,14 +59,14 @@
 
     pub(super) fn agent_leaves(&mut self, agent: &Process) {
         if let Some(pool) = self.pool_of(agent) {
-            pool.leave(agent);
+            pool.start_leaving(agent);
         }
     }
 
     /// An agent is to stay after all; what runs there goes on.
     pub(super) fn agent_stays(&mut self, agent: &Process) {
         if let Some(pool) = self.pool_of(agent) {
-            pool.stay(agent);
+            pool.cancel_leaving(agent);
         }
     }
 
@@ -97,15 +97,15 @@
             view: self.membership(),
             next: self.rules.next,
             adopted_ms: 0,
-            load: Load::default(),
+            load: LoadReport::default(),
             leaving: self.leaving,
         };
         Action::Send(entry.clone(), Frame::Pong(pong))
     }
 }
 
-fn need(has: &rule::request::Need) -> Need {
+fn need(has: &rule::request::Need) -> Resources {
     let cores = u64::from(has.cores);
     let accelerators = u64::from(has.accelerators);
-    Need::new(cores * 1000, u64::from(has.memory), accelerators)
+    Resources::new(cores * 1000, u64::from(has.memory), accelerators)
 }
--- a/crates/cassiarock-entry/src/state/calls.rs
+++ b/crates/cassiarock-entry/src/state/calls.rs
@@ -8,7 +8,7 @@
 use cassiarock_claim::owner::{Event, Owner};
 use cassiarock_id::{Job, Name};
 use cassiarock_policy::dispatch;
-use cassiarock_policy::size::Need;
+use cassiarock_policy::size::Resources;
 use cassiarock_process::Now;
 use cassiarock_rule as rule;
 use std::sync::Arc;
@@ -163,7 +163,7 @@
         now: Now,
     ) -> Option<Stop> {
         let offered = offered(submission, within);
-        match self.pool(pool).offer(&offered, now.up) {
+        match self.pool(pool).admit(&offered, now.up) {
             dispatch::Answer::Admit => None,
             dispatch::Answer::Refuse {
                 reason,
@@ -243,18 +243,18 @@
         tasks.len(),
     );
     let offered = offered
-        .with_need(need.fold(Need::default(), Need::max))
+        .with_need(need.fold(Resources::default(), Resources::max))
         .with_deadline(within);
     match declared {
-        Some(declared) => offered.with_declared(declared),
+        Some(declared) => offered.with_declared_run_time(declared),
         None => offered,
     }
 }
 
-fn task_need(need: &caller::Need) -> Need {
+fn task_need(need: &caller::Need) -> Resources {
     // Whatever is out of range is more than any upstream has.
     let millis = (need.cores * 1000.0).clamp(0.0, 1e15) as u64;
-    Need::new(
+    Resources::new(
         millis,
         need.memory.div_ceil(MEGABYTE),
         u64::from(need.accelerators),
--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/guarded.rs
@@ -5,8 +5,8 @@
 use cassiarock_claim::message::{ClaimRequest, Outcome, Start};
 use cassiarock_claim::owner::{self, Event};
 use cassiarock_id::{Job, Process, Task};
-use cassiarock_policy::dispatch::End;
-use cassiarock_policy::place::Key;
+use cassiarock_policy::dispatch;
+use cassiarock_policy::place::TaskKey;
 use cassiarock_process::Now;
 use cassiarock_wire::{Answered, Ended, Frame, Item, Rejected, Reported, Run};
 use std::time::Duration;
@@ -87,7 +87,7 @@
     }
 
     pub(super) fn ended(&mut self, agent: &Process, ended: Ended, now: Now) -> Vec<Action> {
-        let key = Key::new(ended.job, ended.task);
+        let key = TaskKey::new(ended.job, ended.task);
         let end = end(&ended);
         if let Some(pool) = self.pool_of(agent) {
             pool.end(agent, &key, end, ended.load, now.up);
@@ -128,9 +128,9 @@
         rejected: Rejected,
         now: Now,
     ) -> Vec<Action> {
-        let key = Key::new(rejected.job, rejected.task);
+        let key = TaskKey::new(rejected.job, rejected.task);
         if let Some(pool) = self.pool_of(agent) {
-            pool.refuse(agent, &key, rejected.load, now.up);
+            pool.reject(agent, &key, rejected.load, now.up);
         }
         let Some(work) = self.works.get(&rejected.job) else {
             return Vec::new();
@@ -192,7 +192,7 @@
                 let run = self.works.get(&job).map(|work| rerun(work, &start, now));
                 let frame = run.map(|run| Frame::Run {
                     runs: vec![run],
-                    ask: cassiarock_policy::note::Ask::default(),
+                    ask: cassiarock_policy::load::SlotDemand::default(),
                 });
                 let sent = frame.map(|frame| Action::Send(agent, frame));
                 sent.into_iter().collect()
@@ -250,11 +250,11 @@
     }
 }
 
-fn end(ended: &Ended) -> End {
+fn end(ended: &Ended) -> dispatch::Outcome {
     match &ended.outcome {
-        Outcome::Done(_) => End::Done(Duration::from_millis(ended.ran_ms)),
-        Outcome::Failed(_) => End::Failed,
-        Outcome::Lost(_) => End::Lost,
+        Outcome::Done(_) => dispatch::Outcome::Done(Duration::from_millis(ended.ran_ms)),
+        Outcome::Failed(_) => dispatch::Outcome::Failed,
+        Outcome::Lost(_) => dispatch::Outcome::Lost,
     }
 }
 
--- a/crates/cassiarock-policy/src/admit/gate.rs
+++ b/crates/cassiarock-policy/src/admission/controller.rs
@@ -1,11 +1,11 @@
 //! Admission of jobs at one entry.
 
 use super::backlog::Backlog;
-use super::offer::{Answer, Offer, Reason};
-use super::setting::Setting;
+use super::request::{AdmissionRequest, Answer, Reason};
+use super::settings::Settings;
 use super::spread::Spread;
 use super::team::{Share, Teams, Usage};
-use crate::size::Estimate;
+use crate::size::Estimator;
 use cassiarock_id::{Job, Name, Process};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -29,17 +29,17 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Name, Wall};
-/// use cassiarock_policy::admit::{Answer, Gate, Offer, Setting};
+/// use cassiarock_policy::admission::{Answer, AdmissionController, AdmissionRequest, Settings};
 /// use std::time::Duration;
-/// let mut gate = Gate::new(Setting::default(), 1);
+/// let mut gate = AdmissionController::new(Settings::default(), 1);
 /// gate.set_slots(88);
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
-/// let offer = Offer::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
-/// assert!(matches!(gate.offer(&offer, Duration::ZERO), Answer::Admit(_)));
+/// let offer = AdmissionRequest::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
+/// assert!(matches!(gate.admit(&offer, Duration::ZERO), Answer::Admit(_)));
 /// ```
 #[derive(Debug)]
-pub struct Gate {
-    setting: Setting,
+pub struct AdmissionController {
+    settings: Settings,
     slots: f64,
     /// Whether no upstream can be reached.
     is_out: bool,
@@ -50,12 +50,12 @@
     spread: Spread,
 }
 
-impl Gate {
+impl AdmissionController {
     /// A gate without a pool; it admits until it knows one.
     #[must_use]
-    pub fn new(setting: Setting, seed: u64) -> Self {
+    pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            setting,
+            settings,
             slots: 0.0,
             is_out: false,
             tasks: 0,
@@ -83,21 +83,21 @@
     }
 
     /// Decides on a job.
-    pub fn offer(&mut self, offer: &Offer, now: Duration) -> Answer {
+    pub fn admit(&mut self, offer: &AdmissionRequest, now: Duration) -> Answer {
         self.backlog.decay(!self.is_out, now);
         let work = offer.work.as_secs_f64();
         if let Some((reason, wait)) = self.objection(offer, work, now) {
             let service = self.backlog.service();
-            let retry_after = self.spread.next(work, wait, service, &self.setting, now);
+            let retry_after = self.spread.next(work, wait, service, &self.settings, now);
             return Answer::Refuse {
                 reason,
                 retry_after,
             };
         }
-        let burst = self.setting.burst;
+        let burst = self.settings.quota_burst;
         let ahead = self.teams.charge(&offer.team, work, self.slots, burst, now);
         self.keep(offer, work, now);
-        let due = Estimate::due(now, offer.work, self.slots as usize);
+        let due = Estimator::due(now, offer.work, self.slots as usize);
         Answer::Admit(due.plus(ahead))
     }
 
@@ -129,7 +129,7 @@
     /// Admitted jobs that cannot end before their deadline even if all slots worked for
     /// them. What remains of them would be thrown away; drop it before it starts.
     #[must_use]
-    pub fn hopeless(&self, now: Duration) -> Vec<Job> {
+    pub fn infeasible_jobs(&self, now: Duration) -> Vec<Job> {
         let slots = self.slots.max(1.0);
         let hopeless = self.jobs.iter().filter(|(_, admitted)| {
             let left = admitted.each * admitted.tasks as f64 / slots;
@@ -142,18 +142,18 @@
     }
 
     /// What to tell the other entries about once a second: teams with new work.
-    pub fn news(&mut self) -> Vec<Usage> {
+    pub fn usage_updates(&mut self) -> Vec<Usage> {
         self.teams.news()
     }
 
     /// What another entry told.
-    pub fn hear(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
-        let burst = self.setting.burst;
+    pub fn apply_usage(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
+        let burst = self.settings.quota_burst;
         self.teams.hear(entry, usages, self.slots, burst, now);
     }
 
     /// Another entry is gone.
-    pub fn forget(&mut self, entry: &Process) {
+    pub fn remove_entry(&mut self, entry: &Process) {
         self.teams.forget(entry);
     }
 
@@ -164,21 +164,31 @@
     }
 
     /// Why the job has to be refused, and for how many seconds that holds.
-    fn objection(&mut self, offer: &Offer, work: f64, now: Duration) -> Option<(Reason, f64)> {
+    fn objection(
+        &mut self,
+        offer: &AdmissionRequest,
+        work: f64,
+        now: Duration,
+    ) -> Option<(Reason, f64)> {
         let backlog = self.backlog.total() / self.backlog.service();
-        if self.tasks + offer.tasks > self.setting.tasks || self.jobs.len() >= self.setting.jobs {
+        if self.tasks + offer.task_count > self.settings.max_tasks
+            || self.jobs.len() >= self.settings.max_jobs
+        {
             return Some((Reason::Full, backlog / 2.0));
         }
-        if let Some(wait) = self.teams.wait(&offer.team, self.setting.burst, now) {
+        if let Some(wait) = self.teams.wait(&offer.team, self.settings.quota_burst, now) {
             return Some((Reason::Quota, wait));
         }
         if self.slots == 0.0 {
             return None;
         }
-        let patience = offer.within.unwrap_or(self.setting.patience).as_secs_f64();
+        let patience = offer
+            .time_left
+            .unwrap_or(self.settings.default_deadline)
+            .as_secs_f64();
         // A team within its share is served before one that is ahead of its own, so the
         // other's backlog does not delay it.
-        let burst = self.setting.burst;
+        let burst = self.settings.quota_burst;
         let by_share = self
             .teams
             .end_by_share(&offer.team, work, self.slots, burst, now);
@@ -187,14 +197,14 @@
         (end > patience).then(|| (Reason::Late, (end - patience).min(backlog)))
     }
 
-    fn keep(&mut self, offer: &Offer, work: f64, now: Duration) {
-        self.tasks += offer.tasks;
+    fn keep(&mut self, offer: &AdmissionRequest, work: f64, now: Duration) {
+        self.tasks += offer.task_count;
         self.backlog.add(work);
         let admitted = Admitted {
-            tasks: offer.tasks,
+            tasks: offer.task_count,
             work,
-            each: work / offer.tasks.max(1) as f64,
-            deadline: offer.within.map(|within| now + within),
+            each: work / offer.task_count.max(1) as f64,
+            deadline: offer.time_left.map(|within| now + within),
         };
         self.jobs.insert(offer.job, admitted);
     }
--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -1,13 +1,13 @@
 //! The dispatcher of one pool.
 
-use super::setting::Setting;
-use super::submission::{Answer, End, Reason, Submission};
-use crate::admit::{self, Gate, Offer, Share, Usage};
+use super::settings::Settings;
+use super::submission::{Answer, Outcome, Reason, Submission};
+use crate::admission::{self, AdmissionController, AdmissionRequest, Share, Usage};
 use crate::health::{self, Monitor};
-use crate::note::Load;
-use crate::place::{Action, Key, Placer, Upstream};
-use crate::retry::{Budget, Proof};
-use crate::size::{Estimate, Fit, Need, Verdict};
+use crate::load::LoadReport;
+use crate::place::{Action, Placer, TaskKey, Upstream};
+use crate::retry::{Budget, RetrySafety};
+use crate::size::{Capacities, Estimator, Feasibility, Resources};
 use crate::{Due, place};
 use cassiarock_id::{Job, Name, Process, Task};
 use std::collections::HashMap;
@@ -25,34 +25,34 @@
 ///
 /// It joins admission, placement, learned sizes, fault detection and the retry budget,
 /// so that an entry reports each event once. Call [`Self::poll`] after each batch of
-/// events and at [`Self::wake`].
+/// events and at [`Self::next_poll`].
 ///
 /// ```
 /// use cassiarock_id::{Job, Name, Process, Task, Wall};
-/// use cassiarock_policy::dispatch::{Answer, Dispatcher, Setting, Submission};
+/// use cassiarock_policy::dispatch::{Answer, Dispatcher, Settings, Submission};
 /// use cassiarock_policy::place::{Action, Upstream};
-/// use cassiarock_policy::size::Need;
-/// use cassiarock_policy::{Kind, Weight};
+/// use cassiarock_policy::size::Resources;
+/// use cassiarock_policy::{PlacementPolicy, Objective};
 /// use std::time::Duration;
-/// let setting = Setting::new(Kind::Credits, Weight::Messages);
-/// let mut dispatcher = Dispatcher::new(setting, 1);
+/// let settings = Settings::new(PlacementPolicy::Credits, Objective::Messages);
+/// let mut dispatcher = Dispatcher::new(settings, 1);
 /// let upstream = Upstream::new(Process::new("agent-1", 1), 8);
-/// dispatcher.add(upstream, Need::new(64_000, 128 << 10, 0));
+/// dispatcher.add(upstream, Resources::new(64_000, 128 << 10, 0));
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let job = Submission::new(id, Name::from("valley-3"), Name::from("seat-check"), 1);
 /// let now = Duration::ZERO;
-/// assert_eq!(dispatcher.offer(&job, now), Answer::Admit);
+/// assert_eq!(dispatcher.admit(&job, now), Answer::Admit);
 /// dispatcher.release(id, vec![Task(0)], None, now);
 /// assert!(matches!(&dispatcher.poll(now)[..], [Action::Start { .. }]));
 /// ```
 #[derive(Debug)]
 pub struct Dispatcher {
     placer: Placer,
-    gate: Gate,
+    gate: AdmissionController,
     monitor: Monitor,
-    estimate: Estimate,
+    estimate: Estimator,
     budget: Budget,
-    fit: Fit,
+    fit: Capacities,
     slots: HashMap<Process, u16>,
     jobs: HashMap<Job, Admitted>,
 }
@@ -60,60 +60,60 @@
 impl Dispatcher {
     /// A dispatcher that knows no upstream. Entries use different seeds.
     #[must_use]
-    pub fn new(setting: Setting, seed: u64) -> Self {
+    pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            placer: Placer::new(setting.place, seed),
-            gate: Gate::new(setting.admit, seed),
-            monitor: Monitor::new(setting.health),
-            estimate: Estimate::default(),
-            budget: Budget::new(setting.retry, seed),
-            fit: Fit::default(),
+            placer: Placer::new(settings.place, seed),
+            gate: AdmissionController::new(settings.admission, seed),
+            monitor: Monitor::new(settings.health),
+            estimate: Estimator::default(),
+            budget: Budget::new(settings.retry, seed),
+            fit: Capacities::default(),
             slots: HashMap::new(),
             jobs: HashMap::new(),
         }
     }
 
     /// An upstream with the resources `has` can be reached, for the first time or again.
-    pub fn add(&mut self, upstream: Upstream, has: Need) {
+    pub fn add(&mut self, upstream: Upstream, has: Resources) {
         let agent = upstream.agent.clone();
         self.slots.insert(agent.clone(), upstream.slots);
         self.count_slots();
         self.fit.add(agent.clone(), has);
         self.monitor.add(agent.clone());
         self.placer.add(upstream);
-        self.placer.limit(&agent, self.monitor.share(&agent));
+        self.placer.set_share(&agent, self.monitor.share(&agent));
     }
 
     /// An upstream is leaving: it gets no further task.
-    pub fn leave(&mut self, agent: &Process) {
-        self.placer.leave(agent);
+    pub fn start_leaving(&mut self, agent: &Process) {
+        self.placer.start_leaving(agent);
         self.slots.remove(agent);
         self.count_slots();
     }
 
     /// A leaving upstream stays after all.
-    pub fn stay(&mut self, agent: &Process) {
-        if let Some(slots) = self.placer.stay(agent) {
+    pub fn cancel_leaving(&mut self, agent: &Process) {
+        if let Some(slots) = self.placer.cancel_leaving(agent) {
             self.slots.insert(agent.clone(), slots);
             self.count_slots();
         }
     }
 
-    /// The share of the pool's slots that is in use, in percent; see [`Placer::load`].
+    /// The share of the pool's slots that is in use, in percent; see [`Placer::load_percent`].
     #[must_use]
-    pub fn load(&self) -> u32 {
-        self.placer.load()
+    pub fn load_percent(&self) -> u32 {
+        self.placer.load_percent()
     }
 
     /// The connection to an upstream is gone. Returns the tasks that may have started
     /// there. What was learned of it is kept for its return.
-    pub fn lose(&mut self, agent: &Process) -> Vec<Key> {
+    pub fn disconnect(&mut self, agent: &Process) -> Vec<TaskKey> {
         self.slots.remove(agent);
         self.count_slots();
-        self.placer.lose(agent)
+        self.placer.disconnect(agent)
     }
 
-    /// An upstream is gone for good, after [`Self::lose`].
+    /// An upstream is gone for good, after [`Self::disconnect`].
     pub fn remove(&mut self, agent: &Process) {
         self.monitor.remove(agent);
         self.fit.remove(agent);
@@ -125,25 +125,25 @@
     }
 
     /// Decides whether to admit a job. Nothing of it is sent before it is released.
-    pub fn offer(&mut self, job: &Submission, now: Duration) -> Answer {
+    pub fn admit(&mut self, job: &Submission, now: Duration) -> Answer {
         let learned = self.estimate.need(&job.kind);
-        if let Verdict::Never(resource) = self.fit.check(&job.need, &learned) {
+        if let Feasibility::Impossible(resource) = self.fit.check(&job.need, &learned) {
             return Answer::Refuse {
                 reason: Reason::Impossible(resource),
                 retry_after: None,
             };
         }
-        let run = self.estimate.run_time(&job.kind, job.declared);
-        let offer = Offer {
+        let run = self.estimate.run_time(&job.kind, job.declared_run_time);
+        let offer = AdmissionRequest {
             job: job.job,
             team: job.team.clone(),
-            tasks: job.tasks,
-            work: run.saturating_mul(u32::try_from(job.tasks).unwrap_or(u32::MAX)),
-            within: job.within,
+            task_count: job.task_count,
+            work: run.saturating_mul(u32::try_from(job.task_count).unwrap_or(u32::MAX)),
+            time_left: job.time_left,
         };
-        match self.gate.offer(&offer, now) {
-            admit::Answer::Admit(due) => self.keep(job, due),
-            admit::Answer::Refuse {
+        match self.gate.admit(&offer, now) {
+            admission::Answer::Admit(due) => self.keep(job, due),
+            admission::Answer::Refuse {
                 reason,
                 retry_after,
             } => Answer::Refuse {
@@ -158,47 +158,54 @@
         // A job taken over from another entry was never offered here.
         let due = self.jobs.get(&job).map(|job| job.due);
         let due = due.unwrap_or_else(|| Due::new(now, Duration::ZERO));
-        let mut job = place::Job::new(job, due, tasks);
+        let mut job = place::ReadyTasks::new(job, due, tasks);
         job.avoid = avoid;
-        self.placer.admit(job);
+        self.placer.enqueue(job);
     }
 
     /// A started task ended. `load` came with the frame, if any did.
-    pub fn end(&mut self, agent: &Process, key: &Key, end: End, load: Option<Load>, now: Duration) {
+    pub fn end(
+        &mut self,
+        agent: &Process,
+        key: &TaskKey,
+        end: Outcome,
+        load: Option<LoadReport>,
+        now: Duration,
+    ) {
         self.placer.end(agent, key, load, now);
         let end = match end {
-            End::Done(ran) => self.learn(key.job, ran),
-            End::Failed => health::End::Failed,
-            End::Lost => health::End::Lost,
+            Outcome::Done(ran) => self.learn(key.job, ran),
+            Outcome::Failed => health::Outcome::Failed,
+            Outcome::Lost => health::Outcome::Lost,
         };
-        self.monitor.end(agent, end);
-        if matches!(end, health::End::Done { .. }) {
-            self.budget.succeed();
+        self.monitor.record(agent, end);
+        if matches!(end, health::Outcome::Done { .. }) {
+            self.budget.record_success();
             self.gate.finish(key.job, 1);
         }
     }
 
     /// How long to wait before a task is released again; `None` if it must not be.
-    pub fn retry(&mut self, proof: Proof, retry: u32) -> Option<Duration> {
-        self.budget.take(proof, retry)
+    pub fn retry(&mut self, safety: RetrySafety, retry: u32) -> Option<Duration> {
+        self.budget.take(safety, retry)
     }
 
     /// An agent proved that it has not started the task and will not; see
-    /// [`Placer::reject`].
-    pub fn reject(
+    /// [`Placer::requeue`].
+    pub fn requeue(
         &mut self,
         agent: &Process,
-        key: &Key,
+        key: &TaskKey,
         elsewhere: bool,
-        load: Load,
+        load: LoadReport,
         now: Duration,
     ) {
-        self.placer.reject(agent, key, elsewhere, load, now);
+        self.placer.requeue(agent, key, elsewhere, load, now);
     }
 
     /// An agent proved that it has not started the task and will not, and the job's owner
     /// decides whether it is released again.
-    pub fn refuse(&mut self, agent: &Process, key: &Key, load: Load, now: Duration) {
+    pub fn reject(&mut self, agent: &Process, key: &TaskKey, load: LoadReport, now: Duration) {
         self.placer.end(agent, key, Some(load), now);
     }
 
@@ -208,13 +215,13 @@
         self.placer.cancel(job)
     }
 
-    /// A task of a start action was not sent after all; see [`Placer::bounce`].
-    pub fn bounce(&mut self, agent: &Process, key: &Key, wanted: bool) {
-        self.placer.bounce(agent, key, wanted);
+    /// A task of a start action was not sent after all; see [`Placer::undo_start`].
+    pub fn undo_start(&mut self, agent: &Process, key: &TaskKey, wanted: bool) {
+        self.placer.undo_start(agent, key, wanted);
     }
 
     /// A grant frame came.
-    pub fn grant(&mut self, agent: &Process, load: Load, now: Duration) {
+    pub fn grant(&mut self, agent: &Process, load: LoadReport, now: Duration) {
         self.placer.grant(agent, load, now);
     }
 
@@ -229,15 +236,15 @@
     /// Admitted jobs that can no longer end before their deadline: fail them now, rather
     /// than use slots for them.
     #[must_use]
-    pub fn hopeless(&self, now: Duration) -> Vec<Job> {
-        self.gate.hopeless(now)
+    pub fn infeasible_jobs(&self, now: Duration) -> Vec<Job> {
+        self.gate.infeasible_jobs(now)
     }
 
     /// What to send now.
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
-        if now >= self.monitor.wake() {
-            for (agent, share) in self.monitor.tick(now) {
-                self.placer.limit(&agent, share);
+        if now >= self.monitor.next_evaluation() {
+            for (agent, share) in self.monitor.evaluate(now) {
+                self.placer.set_share(&agent, share);
             }
         }
         self.placer.poll(now)
@@ -245,27 +252,31 @@
 
     /// When [`Self::poll`] has to be called at the latest, if no event comes before.
     #[must_use]
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_poll(&self) -> Option<Duration> {
         if self.slots.is_empty() {
-            return self.placer.wake();
+            return self.placer.next_poll();
         }
-        let judge = self.monitor.wake();
-        Some(self.placer.wake().map_or(judge, |wake| wake.min(judge)))
+        let judge = self.monitor.next_evaluation();
+        Some(
+            self.placer
+                .next_poll()
+                .map_or(judge, |wake| wake.min(judge)),
+        )
     }
 
     /// What to tell the other entries about once a second; empty if nothing is new.
-    pub fn news(&mut self) -> Vec<Usage> {
-        self.gate.news()
+    pub fn usage_updates(&mut self) -> Vec<Usage> {
+        self.gate.usage_updates()
     }
 
     /// What another entry told.
-    pub fn hear(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
-        self.gate.hear(entry, usages, now);
+    pub fn apply_usage(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
+        self.gate.apply_usage(entry, usages, now);
     }
 
     /// Another entry is gone.
-    pub fn forget(&mut self, entry: &Process) {
-        self.gate.forget(entry);
+    pub fn remove_entry(&mut self, entry: &Process) {
+        self.gate.remove_entry(entry);
     }
 
     /// The share of its slots that an upstream may have, 0 to 1.
@@ -282,27 +293,27 @@
 
     /// How many tasks are at upstreams.
     #[must_use]
-    pub fn placed(&self) -> usize {
-        self.placer.placed()
+    pub fn outstanding(&self) -> usize {
+        self.placer.outstanding()
     }
 
     fn keep(&mut self, job: &Submission, due: Due) -> Answer {
         let admitted = Admitted {
             due,
             kind: job.kind.clone(),
-            declared: job.declared,
+            declared: job.declared_run_time,
         };
         self.jobs.insert(job.job, admitted);
         Answer::Admit
     }
 
-    fn learn(&mut self, job: Job, ran: Duration) -> health::End {
+    fn learn(&mut self, job: Job, ran: Duration) -> health::Outcome {
         let Some(job) = self.jobs.get(&job) else {
-            return health::End::Done { slowness: 1.0 };
+            return health::Outcome::Done { slowness: 1.0 };
         };
         let slowness = self.estimate.slowness(&job.kind, job.declared, ran);
         self.estimate.learn(&job.kind, job.declared, ran);
-        health::End::Done { slowness }
+        health::Outcome::Done { slowness }
     }
 
     fn count_slots(&mut self) {
--- a/crates/cassiarock-policy/src/health/mod.rs
+++ b/crates/cassiarock-policy/src/health/mod.rs
@@ -2,8 +2,8 @@
 
 mod monitor;
 mod record;
-mod setting;
+mod settings;
 
 pub use monitor::Monitor;
-pub use record::End;
-pub use setting::Setting;
+pub use record::Outcome;
+pub use settings::Settings;
--- a/crates/cassiarock-policy/src/health/monitor.rs
+++ b/crates/cassiarock-policy/src/health/monitor.rs
@@ -1,7 +1,7 @@
 //! The judgement of upstreams by their outcomes.
 
-use super::Setting;
-use super::record::{End, Record};
+use super::Settings;
+use super::record::{Outcome, Record};
 use cassiarock_id::Process;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,22 +30,22 @@
 ///
 /// ```
 /// use cassiarock_id::Process;
-/// use cassiarock_policy::health::{End, Monitor, Setting};
+/// use cassiarock_policy::health::{Outcome, Monitor, Settings};
 /// use std::time::Duration;
-/// let mut monitor = Monitor::new(Setting::default());
+/// let mut monitor = Monitor::new(Settings::default());
 /// for index in 0..11 {
 ///     monitor.add(Process::new(format!("agent-{index}"), 1));
 /// }
 /// let faulty = Process::new("agent-3", 1);
 /// for _ in 0..20 {
-///     monitor.end(&faulty, End::Failed);
+///     monitor.record(&faulty, Outcome::Failed);
 /// }
-/// let changes = monitor.tick(Duration::from_secs(1));
+/// let changes = monitor.evaluate(Duration::from_secs(1));
 /// assert_eq!(changes, [(faulty, 0.0)]);
 /// ```
 #[derive(Debug)]
 pub struct Monitor {
-    setting: Setting,
+    settings: Settings,
     records: BTreeMap<Process, Record>,
     judged_at: Option<Duration>,
     is_urgent: bool,
@@ -54,9 +54,9 @@
 impl Monitor {
     /// A monitor that knows no upstream.
     #[must_use]
-    pub fn new(setting: Setting) -> Self {
+    pub fn new(settings: Settings) -> Self {
         Self {
-            setting,
+            settings,
             records: BTreeMap::new(),
             judged_at: None,
             is_urgent: false,
@@ -65,7 +65,7 @@
 
     /// An upstream announced itself.
     pub fn add(&mut self, agent: Process) {
-        let record = Record::new(&self.setting);
+        let record = Record::new(&self.settings);
         self.records.entry(agent).or_insert(record);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// A task ended at `agent`. Rejects are no ends.
-    pub fn end(&mut self, agent: &Process, end: End) {
+    pub fn record(&mut self, agent: &Process, end: Outcome) {
         if let Some(record) = self.records.get_mut(agent) {
             record.add(end);
             self.is_urgent |= record.streak == STREAK;
@@ -88,21 +88,21 @@
         self.records.get(agent).map_or(1.0, |record| record.share)
     }
 
-    /// When [`Self::tick`] has to be called next; at once if an upstream fails one task
+    /// When [`Self::evaluate`] has to be called next; at once if an upstream fails one task
     /// after the other.
     #[must_use]
-    pub fn wake(&self) -> Duration {
+    pub fn next_evaluation(&self) -> Duration {
         if self.is_urgent {
             return Duration::ZERO;
         }
         let judged = self.judged_at.unwrap_or_default();
-        judged + self.setting.interval
+        judged + self.settings.evaluation_interval
     }
 
     /// Judges all upstreams; returns the shares that changed.
-    pub fn tick(&mut self, now: Duration) -> Vec<(Process, f64)> {
+    pub fn evaluate(&mut self, now: Duration) -> Vec<(Process, f64)> {
         let last = self.judged_at;
-        let is_early = last.is_some_and(|last| now < last + self.setting.interval);
+        let is_early = last.is_some_and(|last| now < last + self.settings.evaluation_interval);
         if is_early && !self.is_urgent {
             return Vec::new();
         }
@@ -123,14 +123,15 @@
         let median_slowness = median(self.records.values().map(|record| record.slowness));
         let median_failing = median(self.records.values().map(|record| record.failing));
         let records = self.records.iter();
-        let judged = records
-            .filter(|(_, record)| record.is_proved(&self.setting) || record.is_failing_now(STREAK));
+        let judged = records.filter(|(_, record)| {
+            record.is_proved(&self.settings) || record.is_failing_now(STREAK)
+        });
         let faults = judged.filter_map(|(agent, record)| {
-            let fails = record.failing > self.setting.failing
+            let fails = record.failing > self.settings.max_failure_rate
                 && record.failing > FAILS_MORE * median_failing;
             let slowness = (record.slowness - median_slowness).exp();
             let badness = if fails { f64::INFINITY } else { slowness };
-            (fails || slowness > self.setting.slow).then(|| Fault {
+            (fails || slowness > self.settings.straggler_factor).then(|| Fault {
                 agent: agent.clone(),
                 fails,
                 badness,
@@ -145,27 +146,27 @@
     /// changes, else a share would go up and down with the noise.
     fn raise_the_good(&mut self, faults: &[Fault], now: Duration) {
         let median = median(self.records.values().map(|record| record.slowness));
-        let good = self.setting.slow.ln() / 2.0;
+        let good = self.settings.straggler_factor.ln() / 2.0;
         for (agent, record) in &mut self.records {
             let is_faulty = faults.iter().any(|fault| fault.agent == *agent);
             let is_good = !is_faulty && record.slowness - median < good;
-            let is_proved = record.share < 1.0 && record.is_proved(&self.setting);
+            let is_proved = record.share < 1.0 && record.is_proved(&self.settings);
             if record.is_over(now) || (is_proved && is_good) {
-                record.raise(&self.setting);
+                record.raise(&self.settings);
             }
         }
     }
 
     /// The worst first, until the bound on what is withheld.
     fn lower_the_faulty(&mut self, faults: Vec<Fault>, now: Duration) {
-        let bound = self.records.len() as f64 * self.setting.withheld;
+        let bound = self.records.len() as f64 * self.settings.max_withheld_share;
         for fault in faults {
             let withheld: f64 = self.records.values().map(|record| 1.0 - record.share).sum();
             let Some(record) = self.records.get_mut(&fault.agent) else {
                 continue;
             };
             if withheld + record.next_loss(fault.fails) <= bound {
-                record.lower(fault.fails, &self.setting, now);
+                record.lower(fault.fails, &self.settings, now);
             }
         }
     }
--- a/crates/cassiarock-policy/src/place/demand.rs
+++ b/crates/cassiarock-policy/src/place/demand.rs
@@ -3,10 +3,10 @@
 use super::placer::Action;
 use super::pool::Pool;
 use super::queue::Queue;
-use super::setting::Setting;
+use super::settings::Settings;
 use super::view::View;
 use crate::Due;
-use crate::note::Ask;
+use crate::load::SlotDemand;
 use std::time::Duration;
 
 /// How many upstreams are drawn in search of one that has not been asked yet.
@@ -31,8 +31,8 @@
 }
 
 impl Book {
-    pub(super) fn wake(&self, setting: &Setting) -> Duration {
-        self.started_at + setting.renew
+    pub(super) fn wake(&self, settings: &Settings) -> Duration {
+        self.started_at + settings.demand_interval
     }
 
     /// Credits arrived from an upstream that was asked.
@@ -44,13 +44,13 @@
 
     /// The next upstream to ask, if the round's demands are too few.
     pub(super) fn next(&mut self, pool: &mut Pool, queue: &Queue, now: Duration) -> Option<u32> {
-        self.open_round(queue, &pool.setting, now);
-        let seekers = if pool.setting.ahead > 0 {
-            queue.seekers(pool.setting.few)
+        self.open_round(queue, &pool.settings, now);
+        let seekers = if pool.settings.prefetch > 0 {
+            queue.seekers(pool.settings.small_job_tasks)
         } else {
             queue.len()
         };
-        let target = seekers * usize::from(pool.setting.reach);
+        let target = seekers * usize::from(pool.settings.demands_per_task);
         if self.asked >= target {
             return None;
         }
@@ -64,8 +64,14 @@
     }
 
     /// The demand for a frame that goes to `index` because of it.
-    pub(super) fn ask(&mut self, pool: &mut Pool, queue: &Queue, index: u32, now: Duration) -> Ask {
-        let want = if pool.setting.ahead > 0 {
+    pub(super) fn ask(
+        &mut self,
+        pool: &mut Pool,
+        queue: &Queue,
+        index: u32,
+        now: Duration,
+    ) -> SlotDemand {
+        let want = if pool.settings.prefetch > 0 {
             1
         } else {
             share(pool, queue, index)
@@ -81,17 +87,17 @@
         queue: &Queue,
         index: u32,
         now: Duration,
-    ) -> Ask {
-        if pool.setting.kind.queues_at_upstream() {
-            return Ask::default();
+    ) -> SlotDemand {
+        if pool.settings.policy.queues_at_upstream() {
+            return SlotDemand::default();
         }
-        self.open_round(queue, &pool.setting, now);
+        self.open_round(queue, &pool.settings, now);
         let mut want = if self.has_asked(pool, index) {
             pool.get(index).map_or(0, |view| view.asked)
         } else {
             0
         };
-        if pool.setting.kind == crate::Kind::Credits {
+        if pool.settings.policy == crate::PlacementPolicy::Credits {
             want = want.max(share(pool, queue, index));
         }
         if queue.len() == 0 {
@@ -109,7 +115,7 @@
         let mut actions = Vec::new();
         for index in pool.take_credited() {
             let contended = pool.get(index).is_some_and(|view| view.load.contended);
-            if !contended || pool.setting.kind != crate::Kind::Probes {
+            if !contended || pool.settings.policy != crate::PlacementPolicy::Probes {
                 pool.keep_credited(index);
                 continue;
             }
@@ -117,9 +123,9 @@
             let Some(view) = pool.get(index) else {
                 continue;
             };
-            let ask = Ask {
+            let ask = SlotDemand {
                 returned: returned.unwrap_or(0),
-                ..Ask::default()
+                ..SlotDemand::default()
             };
             let agent = view.upstream.agent.clone();
             actions.push(Action::Demand { agent, ask });
@@ -127,13 +133,13 @@
         actions
     }
 
-    fn open_round(&mut self, queue: &Queue, setting: &Setting, now: Duration) {
+    fn open_round(&mut self, queue: &Queue, settings: &Settings, now: Duration) {
         let first = queue.first_due();
         let sooner = match (first, self.due) {
             (Some(first), Some(told)) => first.plus(SOONER) < told,
             _ => true,
         };
-        let old = now.saturating_sub(self.started_at) >= setting.renew;
+        let old = now.saturating_sub(self.started_at) >= settings.demand_interval;
         if sooner || old {
             self.round += 1;
             self.asked = 0;
@@ -154,7 +160,7 @@
         index: u32,
         want: u16,
         now: Duration,
-    ) -> Ask {
+    ) -> SlotDemand {
         let round = self.round;
         let before = pool.change(index, |view| {
             let before = if view.round == round { view.asked } else { 0 };
@@ -164,10 +170,10 @@
         });
         let before = usize::from(before.unwrap_or(0)).min(self.asked);
         self.asked = self.asked - before + usize::from(want);
-        Ask {
+        SlotDemand {
             waiting: want,
             lateness: lateness(queue, now),
-            ..Ask::default()
+            ..SlotDemand::default()
         }
     }
 }
@@ -184,7 +190,7 @@
 /// How many slots to ask of one upstream: the waiting tasks spread over those usable,
 /// `reach` times over, at most all its slots.
 fn share(pool: &Pool, queue: &Queue, index: u32) -> u16 {
-    let wanted = queue.len() * usize::from(pool.setting.reach.max(1));
+    let wanted = queue.len() * usize::from(pool.settings.demands_per_task.max(1));
     let each = wanted.div_ceil(pool.usable().len().max(1));
     let slots = pool.get(index).map_or(0, |view| view.upstream.slots);
     u16::try_from(each).unwrap_or(u16::MAX).min(slots)
--- a/crates/cassiarock-policy/src/place/placer.rs
+++ b/crates/cassiarock-policy/src/place/placer.rs
@@ -1,15 +1,15 @@
 //! The placement of an entry's waiting tasks.
 
 use super::demand::Book;
-use super::job::{Job, Key, Placed};
+use super::job::{PlacedTask, ReadyTasks, TaskKey};
 use super::pool::Pool;
 use super::queue::Queue;
-use super::setting::Setting;
+use super::settings::Settings;
 use super::upstream::Upstream;
 use super::view::FULL_WEIGHT;
-use crate::note::{Ask, Load};
-use crate::{Due, Kind};
-use cassiarock_id::{Process, Task};
+use crate::load::{LoadReport, SlotDemand};
+use crate::{Due, PlacementPolicy};
+use cassiarock_id::{Job, Process, Task};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -28,16 +28,16 @@
         /// To whom.
         agent: Process,
         /// The tasks.
-        tasks: Vec<Placed>,
+        tasks: Vec<PlacedTask>,
         /// To be carried on the frame.
-        ask: Ask,
+        ask: SlotDemand,
     },
     /// A frame without tasks: a demand for slots, or credits handed back.
     Demand {
         /// To whom.
         agent: Process,
         /// What it says.
-        ask: Ask,
+        ask: SlotDemand,
     },
 }
 
@@ -60,14 +60,14 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Process, Task, Wall};
-/// use cassiarock_policy::place::{self, Action, Placer, Setting, Upstream};
-/// use cassiarock_policy::{Due, Kind};
+/// use cassiarock_policy::place::{self, Action, Placer, Settings, Upstream};
+/// use cassiarock_policy::{Due, PlacementPolicy};
 /// use std::time::Duration;
-/// let mut placer = Placer::new(Setting::new(Kind::Credits), 1);
+/// let mut placer = Placer::new(Settings::new(PlacementPolicy::Credits), 1);
 /// placer.add(Upstream::new(Process::new("agent-1", 1), 8));
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
 /// let due = Due::new(Duration::ZERO, Duration::ZERO);
-/// placer.admit(place::Job::new(id, due, vec![Task(0)]));
+/// placer.enqueue(place::ReadyTasks::new(id, due, vec![Task(0)]));
 /// let actions = placer.poll(Duration::ZERO);
 /// assert!(matches!(&actions[..], [Action::Start { tasks, .. }] if tasks.len() == 1));
 /// ```
@@ -75,7 +75,7 @@
 pub struct Placer {
     pool: Pool,
     queue: Queue,
-    flights: HashMap<Key, Flight>,
+    flights: HashMap<TaskKey, Flight>,
     book: Book,
     polled_at: Duration,
 }
@@ -83,9 +83,9 @@
 impl Placer {
     /// A placer that knows no upstream. Entries use different seeds.
     #[must_use]
-    pub fn new(setting: Setting, seed: u64) -> Self {
+    pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            pool: Pool::new(setting, seed),
+            pool: Pool::new(settings, seed),
             queue: Queue::default(),
             flights: HashMap::new(),
             book: Book::default(),
@@ -99,14 +99,14 @@
     }
 
     /// An upstream is leaving: it gets no further task.
-    pub fn leave(&mut self, agent: &Process) {
+    pub fn start_leaving(&mut self, agent: &Process) {
         if let Some(index) = self.pool.index(agent) {
             self.pool.change(index, |view| view.leaving = true);
         }
     }
 
     /// A leaving upstream stays after all; its slots, if it is known.
-    pub fn stay(&mut self, agent: &Process) -> Option<u16> {
+    pub fn cancel_leaving(&mut self, agent: &Process) -> Option<u16> {
         let index = self.pool.index(agent)?;
         self.pool.change(index, |view| {
             view.leaving = false;
@@ -117,7 +117,7 @@
     /// The share of the upstreams' slots that is in use, in percent, by the loads last
     /// heard. A pass over all upstreams.
     #[must_use]
-    pub fn load(&self) -> u32 {
+    pub fn load_percent(&self) -> u32 {
         let (slots, open) = self.pool.count_slots();
         let used = slots.saturating_sub(open);
         u32::try_from(used * 100 / slots.max(1)).unwrap_or(100)
@@ -125,12 +125,12 @@
 
     /// An upstream or the connection to it is gone. Returns the tasks that may have
     /// started there; they are no longer the placer's.
-    pub fn lose(&mut self, agent: &Process) -> Vec<Key> {
+    pub fn disconnect(&mut self, agent: &Process) -> Vec<TaskKey> {
         let Some(index) = self.pool.index(agent) else {
             return Vec::new();
         };
         self.pool.remove(agent);
-        let mut lost: Vec<Key> = self
+        let mut lost: Vec<TaskKey> = self
             .flights
             .iter()
             .filter(|(_, flight)| flight.upstream == index)
@@ -145,7 +145,7 @@
 
     /// Lets an upstream have only `share` of its slots, 0 to 1, see
     /// [`crate::place`]; 0 stops new tasks.
-    pub fn limit(&mut self, agent: &Process, share: f64) {
+    pub fn set_share(&mut self, agent: &Process, share: f64) {
         let weight = (share.clamp(0.0, 1.0) * f64::from(FULL_WEIGHT)).ceil();
         if let Some(index) = self.pool.index(agent) {
             self.pool.change(index, |view| view.weight = weight as u16);
@@ -153,13 +153,13 @@
     }
 
     /// Tasks may be started.
-    pub fn admit(&mut self, job: Job) {
+    pub fn enqueue(&mut self, job: ReadyTasks) {
         self.queue.push(job);
     }
 
     /// A task ended, or its reject is final. `load` came with the frame, if any did: an
     /// outcome told once more says nothing of the slots.
-    pub fn end(&mut self, agent: &Process, key: &Key, load: Option<Load>, now: Duration) {
+    pub fn end(&mut self, agent: &Process, key: &TaskKey, load: Option<LoadReport>, now: Duration) {
         self.land(key);
         if let Some(load) = load {
             self.grant(agent, load, now);
@@ -168,7 +168,7 @@
 
     /// A task of a start action was not sent after all: the claim forbids this agent. It
     /// waits again, if `wanted`, for another one.
-    pub fn bounce(&mut self, agent: &Process, key: &Key, wanted: bool) {
+    pub fn undo_start(&mut self, agent: &Process, key: &TaskKey, wanted: bool) {
         let Some(flight) = self.land(key) else {
             return;
         };
@@ -176,26 +176,26 @@
             view.sent = view.sent.wrapping_sub(1);
         });
         if wanted {
-            let job = Job::new(key.job, flight.due, vec![key.task]);
+            let job = ReadyTasks::new(key.job, flight.due, vec![key.task]);
             self.queue.push(job.with_avoid(agent.clone()));
         }
     }
 
     /// An agent proved that it has not started the task and will not: the task waits
     /// again. `elsewhere` says that the agent must not be asked again for this job.
-    pub fn reject(
+    pub fn requeue(
         &mut self,
         agent: &Process,
-        key: &Key,
+        key: &TaskKey,
         elsewhere: bool,
-        load: Load,
+        load: LoadReport,
         now: Duration,
     ) {
         self.grant(agent, load, now);
         let Some(flight) = self.land(key) else {
             return;
         };
-        let mut job = Job::new(key.job, flight.due, vec![key.task]);
+        let mut job = ReadyTasks::new(key.job, flight.due, vec![key.task]);
         job.avoid = if elsewhere {
             Some(agent.clone())
         } else {
@@ -205,7 +205,7 @@
     }
 
     /// A grant frame came.
-    pub fn grant(&mut self, agent: &Process, load: Load, now: Duration) {
+    pub fn grant(&mut self, agent: &Process, load: LoadReport, now: Duration) {
         let Some(index) = self.pool.hear(agent, load, now) else {
             return;
         };
@@ -214,12 +214,12 @@
 
     /// Nobody waits for the job any more. Returns its tasks that were never sent; those
     /// already sent have to be cancelled at their agents.
-    pub fn cancel(&mut self, job: cassiarock_id::Job) -> Vec<Task> {
+    pub fn cancel(&mut self, job: Job) -> Vec<Task> {
         self.queue.remove(job)
     }
 
     /// What to send now. Call after every event, or after a batch of them, and at
-    /// [`Self::wake`].
+    /// [`Self::next_poll`].
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
         self.polled_at = now;
         self.pool.expire_credits(now);
@@ -234,10 +234,10 @@
                 actions.push(Action::Start { agent, tasks, ask });
             }
         }
-        if self.pool.setting.tries_stale() {
+        if self.pool.settings.tries_stale() {
             self.probe_stale(now, &mut actions);
         }
-        if !self.pool.setting.kind.queues_at_upstream() {
+        if !self.pool.settings.policy.queues_at_upstream() {
             self.seek(now, &mut actions);
         }
         actions.extend(self.book.give_back(&mut self.pool, &self.queue));
@@ -246,14 +246,14 @@
 
     /// When [`Self::poll`] has to be called at the latest, if no event comes before.
     #[must_use]
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_poll(&self) -> Option<Duration> {
         if self.queue.len() == 0 {
             return None;
         }
         Some(
             self.book
-                .wake(&self.pool.setting)
-                .min(self.polled_at + self.pool.setting.stale),
+                .wake(&self.pool.settings)
+                .min(self.polled_at + self.pool.settings.load_max_age),
         )
     }
 
@@ -265,12 +265,12 @@
 
     /// How many tasks are at upstreams.
     #[must_use]
-    pub fn placed(&self) -> usize {
+    pub fn outstanding(&self) -> usize {
         self.flights.len()
     }
 
-    fn place(&mut self, now: Duration) -> BTreeMap<u32, Vec<Placed>> {
-        let mut starts: BTreeMap<u32, Vec<Placed>> = BTreeMap::new();
+    fn place(&mut self, now: Duration) -> BTreeMap<u32, Vec<PlacedTask>> {
+        let mut starts: BTreeMap<u32, Vec<PlacedTask>> = BTreeMap::new();
         while let Some((index, job)) = self.next_match() {
             if let Some(task) = self.send(index, job, now) {
                 starts.entry(index).or_default().push(task);
@@ -279,12 +279,12 @@
         starts
     }
 
-    fn next_match(&mut self) -> Option<(u32, cassiarock_id::Job)> {
+    fn next_match(&mut self) -> Option<(u32, Job)> {
         for (job, due, avoid) in self.queue.front(LOOK_PAST) {
             let avoid = avoid.and_then(|agent| self.pool.index(agent));
             let found = self.pool.pick(avoid);
-            let seeks =
-                self.pool.setting.reach > 0 && self.queue.waiting_of(job) <= self.pool.setting.few;
+            let seeks = self.pool.settings.demands_per_task > 0
+                && self.queue.waiting_of(job) <= self.pool.settings.small_job_tasks;
             let found = found.or_else(|| {
                 if seeks {
                     return None;
@@ -298,7 +298,7 @@
         None
     }
 
-    fn send(&mut self, index: u32, job: cassiarock_id::Job, now: Duration) -> Option<Placed> {
+    fn send(&mut self, index: u32, job: Job, now: Duration) -> Option<PlacedTask> {
         let (key, due, avoid) = self.queue.pop(job)?;
         let may_wait = self.may_wait(index, job);
         self.pool.change(index, |view| view.start(due, now));
@@ -308,7 +308,7 @@
             avoid,
         };
         self.flights.insert(key, flight);
-        Some(Placed {
+        Some(PlacedTask {
             key,
             lateness: due.lateness(now),
             may_wait,
@@ -316,17 +316,17 @@
     }
 
     /// Whether a task that is being sent may wait at the upstream.
-    fn may_wait(&self, index: u32, job: cassiarock_id::Job) -> bool {
-        let setting = &self.pool.setting;
-        if setting.kind != Kind::Credits {
-            return setting.kind.queues_at_upstream();
+    fn may_wait(&self, index: u32, job: Job) -> bool {
+        let settings = &self.pool.settings;
+        if settings.policy != PlacementPolicy::Credits {
+            return settings.policy.queues_at_upstream();
         }
         let believed_open = self.pool.get(index).is_some_and(|view| view.open() > 0);
-        let is_few = self.queue.waiting_of(job) < setting.few;
-        setting.ahead > 0 && !(believed_open && is_few && setting.reach > 0)
+        let is_few = self.queue.waiting_of(job) < settings.small_job_tasks;
+        settings.prefetch > 0 && !(believed_open && is_few && settings.demands_per_task > 0)
     }
 
-    fn land(&mut self, key: &Key) -> Option<Flight> {
+    fn land(&mut self, key: &TaskKey) -> Option<Flight> {
         let flight = self.flights.remove(key)?;
         self.pool
             .change(flight.upstream, |view| view.land(flight.due));
@@ -355,9 +355,9 @@
         }
     }
 
-    fn trial(&mut self, index: u32, now: Duration) -> Option<Placed> {
+    fn trial(&mut self, index: u32, now: Duration) -> Option<PlacedTask> {
         let view = self.pool.get(index)?;
-        if !view.is_stale(now, self.pool.setting.stale) {
+        if !view.is_stale(now, self.pool.settings.load_max_age) {
             return None;
         }
         let (job, _, avoid) = self.queue.front(1).next()?;
--- a/crates/cassiarock-policy/src/place/view.rs
+++ b/crates/cassiarock-policy/src/place/view.rs
@@ -1,8 +1,8 @@
 //! What the entry knows of one upstream.
 
 use super::upstream::Upstream;
-use crate::note::Load;
-use crate::{Due, Kind};
+use crate::load::LoadReport;
+use crate::{Due, PlacementPolicy};
 use std::time::Duration;
 
 /// The load of one upstream as last heard, corrected by the entry's own starts since.
@@ -13,7 +13,7 @@
     /// Share of its slots to be used, in 1/256; lowered while it looks faulty.
     pub(super) weight: u16,
     pub(super) near: bool,
-    pub(super) load: Load,
+    pub(super) load: LoadReport,
     pub(super) heard_at: Option<Duration>,
     /// When a task was last sent.
     pub(super) sent_at: Option<Duration>,
@@ -40,9 +40,9 @@
             leaving: false,
             weight: FULL_WEIGHT,
             near,
-            load: Load {
+            load: LoadReport {
                 open,
-                ..Load::default()
+                ..LoadReport::default()
             },
             heard_at: None,
             sent_at: None,
@@ -60,7 +60,7 @@
     }
 
     /// Takes in a load report. Reports arrive in order on a connection.
-    pub(super) fn hear(&mut self, load: Load, now: Duration) {
+    pub(super) fn hear(&mut self, load: LoadReport, now: Duration) {
         self.credit = self.credit.saturating_add(load.credit);
         if load.credit > 0 {
             self.credit_at = now;
@@ -95,16 +95,16 @@
     }
 
     /// How many more tasks fit, by what is known; negative if it is overbooked.
-    pub(super) fn room(&self, kind: Kind, bound: u16) -> i64 {
+    pub(super) fn room(&self, kind: PlacementPolicy, bound: u16) -> i64 {
         if !self.usable() {
             return 0;
         }
         let room = match kind {
-            Kind::Random if self.believed() >= i64::from(bound) => 0,
-            Kind::Random => i64::from(bound) - self.sent_out(),
-            Kind::TwoChoices => i64::from(bound) - self.believed(),
-            Kind::Probes => i64::from(self.credit),
-            Kind::Credits => self.free(),
+            PlacementPolicy::Random if self.believed() >= i64::from(bound) => 0,
+            PlacementPolicy::Random => i64::from(bound) - self.sent_out(),
+            PlacementPolicy::TwoChoices => i64::from(bound) - self.believed(),
+            PlacementPolicy::Probes => i64::from(self.credit),
+            PlacementPolicy::Credits => self.free(),
         };
         room.min(self.cap(bound) - self.sent_out())
     }
--- a/crates/cassiarock-policy/src/retry/budget.rs
+++ b/crates/cassiarock-policy/src/retry/budget.rs
@@ -6,37 +6,37 @@
 
 /// What makes a second try safe.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Proof {
+pub enum RetrySafety {
     /// The agent that could have started the task proved that it did not and will not.
     NotStarted,
     /// The caller declared the request idempotent.
-    Repeatable,
+    Idempotent,
     /// Nothing: the first try may have run.
-    None,
+    Unproven,
 }
 
 /// The bounds of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Setting {
+pub struct Settings {
     /// Retries allowed per success. At a tenth, a total failure of all upstreams raises
     /// the load by a tenth at most, where unbounded retries would multiply it.
-    pub share: f64,
+    pub retries_per_success: f64,
     /// Retries that may be saved up, and that a new entry has: enough for the tasks of
     /// one upstream that dies.
     pub reserve: f64,
     /// The longest wait before the first retry; doubles with each further one.
-    pub base: Duration,
+    pub base_delay: Duration,
     /// The longest wait before any retry. Above it the caller's deadline decides.
-    pub longest: Duration,
+    pub max_delay: Duration,
 }
 
-impl Default for Setting {
+impl Default for Settings {
     fn default() -> Self {
         Self {
-            share: 0.1,
+            retries_per_success: 0.1,
             reserve: 64.0,
-            base: Duration::from_millis(20),
-            longest: Duration::from_secs(2),
+            base_delay: Duration::from_millis(20),
+            max_delay: Duration::from_secs(2),
         }
     }
 }
@@ -49,14 +49,14 @@
 /// together.
 ///
 /// ```
-/// use cassiarock_policy::retry::{Budget, Proof, Setting};
-/// let mut budget = Budget::new(Setting::default(), 1);
-/// assert!(budget.take(Proof::NotStarted, 0).is_some());
-/// assert!(budget.take(Proof::None, 0).is_none());
+/// use cassiarock_policy::retry::{Budget, RetrySafety, Settings};
+/// let mut budget = Budget::new(Settings::default(), 1);
+/// assert!(budget.take(RetrySafety::NotStarted, 0).is_some());
+/// assert!(budget.take(RetrySafety::Unproven, 0).is_none());
 /// ```
 #[derive(Debug)]
 pub struct Budget {
-    setting: Setting,
+    settings: Settings,
     left: f64,
     rng: StdRng,
 }
@@ -64,29 +64,29 @@
 impl Budget {
     /// A full budget.
     #[must_use]
-    pub fn new(setting: Setting, seed: u64) -> Self {
+    pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            left: setting.reserve,
-            setting,
+            left: settings.reserve,
+            settings,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
     /// A task succeeded.
-    pub fn succeed(&mut self) {
-        self.left = (self.left + self.setting.share).min(self.setting.reserve);
+    pub fn record_success(&mut self) {
+        self.left = (self.left + self.settings.retries_per_success).min(self.settings.reserve);
     }
 
     /// How long to wait before retry number `retry` (0 is the first); `None` if there is
     /// to be none, because it is not proved safe or the budget is used up.
-    pub fn take(&mut self, proof: Proof, retry: u32) -> Option<Duration> {
-        if proof == Proof::None || self.left < 1.0 {
+    pub fn take(&mut self, safety: RetrySafety, retry: u32) -> Option<Duration> {
+        if safety == RetrySafety::Unproven || self.left < 1.0 {
             return None;
         }
         self.left -= 1.0;
         let factor = 2_u32.saturating_pow(retry.min(16));
-        let longest = self.setting.base.saturating_mul(factor);
-        let longest = longest.min(self.setting.longest);
+        let longest = self.settings.base_delay.saturating_mul(factor);
+        let longest = longest.min(self.settings.max_delay);
         Some(longest.mul_f64(self.rng.random()))
     }
 }
--- a/crates/cassiarock-policy/src/slot/demand.rs
+++ b/crates/cassiarock-policy/src/slot/demand.rs
@@ -1,8 +1,8 @@
 //! Who waits for slots here, and who holds credits.
 
-use super::Setting;
+use super::Settings;
 use crate::Due;
-use crate::note::Ask;
+use crate::load::SlotDemand;
 use cassiarock_id::Process;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -51,7 +51,7 @@
             .or_insert_with(|| Demand::new(now))
     }
 
-    pub(super) fn ask(&mut self, entry: &Process, ask: &Ask, now: Duration) {
+    pub(super) fn ask(&mut self, entry: &Process, ask: &SlotDemand, now: Duration) {
         let demand = self.of(entry, now);
         demand.waiting = ask.waiting;
         demand.due = Due::from_lateness(now, ask.lateness);
@@ -82,12 +82,12 @@
             .min_by_key(|(entry, demand)| (demand.due, *entry))
     }
 
-    pub(super) fn expire(&mut self, setting: &Setting, now: Duration) {
+    pub(super) fn expire(&mut self, settings: &Settings, now: Duration) {
         for demand in self.entries.values_mut() {
             if demand.credit > 0 && now >= demand.credit_until {
                 demand.credit = 0;
             }
-            if now.saturating_sub(demand.asked_at) >= setting.forget {
+            if now.saturating_sub(demand.asked_at) >= settings.demand_lifetime {
                 demand.waiting = 0;
             }
         }
--- a/crates/cassiarock-policy/src/slot/pool.rs
+++ b/crates/cassiarock-policy/src/slot/scheduler.rs
@@ -1,11 +1,11 @@
 //! The slots of one upstream.
 
-use super::Setting;
+use super::Settings;
 use super::demand::Register;
 use super::queue::Queue;
 use crate::Due;
-use crate::note::{Ask, Load};
-use crate::place::{Key, Placed};
+use crate::load::{LoadReport, SlotDemand};
+use crate::place::{PlacedTask, TaskKey};
 use cassiarock_id::{Job, Process};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 pub enum Verdict {
     /// Run it now.
     Run,
-    /// It waits here; [`Finish::next`] or [`Pool::poll`] runs it later.
+    /// It waits here; [`Finish::next`] or [`SlotScheduler::poll`] runs it later.
     Queued,
     /// No slot and no place in the queue: reject it. The entry may place it elsewhere.
     Full,
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finish {
     /// To be sent on the outcome frame.
-    pub load: Load,
+    pub load: LoadReport,
     /// A queued task that takes the slot, with its entry.
-    pub next: Option<(Process, Key)>,
+    pub next: Option<(Process, TaskKey)>,
 }
 
 /// What the agent has to do.
@@ -38,14 +38,14 @@
         /// Who sent it.
         entry: Process,
         /// The task.
-        key: Key,
+        key: TaskKey,
     },
     /// Send a grant frame.
     Grant {
         /// To whom.
         entry: Process,
         /// What it says; `credit` is at least 1.
-        load: Load,
+        load: LoadReport,
     },
 }
 
@@ -59,33 +59,33 @@
 ///
 /// ```
 /// use cassiarock_id::{Job, Process, Task, Wall};
-/// use cassiarock_policy::note::Ask;
-/// use cassiarock_policy::place::{Key, Placed};
-/// use cassiarock_policy::slot::{Pool, Setting, Verdict};
+/// use cassiarock_policy::load::SlotDemand;
+/// use cassiarock_policy::place::{TaskKey, PlacedTask};
+/// use cassiarock_policy::slot::{SlotScheduler, Settings, Verdict};
 /// use std::time::Duration;
 /// let entry = Process::new("entry-1", 1);
-/// let key = Key::new(Job::with_bits(Wall::from_millis(1), 1), Task(0));
-/// let mut pool = Pool::new(Setting::new(8));
+/// let key = TaskKey::new(Job::with_bits(Wall::from_millis(1), 1), Task(0));
+/// let mut pool = SlotScheduler::new(Settings::new(8));
 /// let now = Duration::ZERO;
-/// assert_eq!(pool.start(&entry, &[Placed::new(key, 0)], &Ask::default(), now), [Verdict::Run]);
+/// assert_eq!(pool.start(&entry, &[PlacedTask::new(key, 0)], &SlotDemand::default(), now), [Verdict::Run]);
 /// assert_eq!(pool.finish(&key, now).load.open, 8);
 /// ```
 #[derive(Debug)]
-pub struct Pool {
-    setting: Setting,
-    running: HashMap<Key, Process>,
+pub struct SlotScheduler {
+    settings: Settings,
+    running: HashMap<TaskKey, Process>,
     queue: Queue,
     register: Register,
     /// Since when a slot is open although somebody waits.
     idle_since: Option<Duration>,
 }
 
-impl Pool {
+impl SlotScheduler {
     /// An upstream on which nothing runs.
     #[must_use]
-    pub fn new(setting: Setting) -> Self {
+    pub fn new(settings: Settings) -> Self {
         Self {
-            setting,
+            settings,
             running: HashMap::new(),
             queue: Queue::default(),
             register: Register::default(),
@@ -98,11 +98,11 @@
     pub fn start(
         &mut self,
         entry: &Process,
-        tasks: &[Placed],
-        ask: &Ask,
+        tasks: &[PlacedTask],
+        ask: &SlotDemand,
         now: Duration,
     ) -> Vec<Verdict> {
-        self.register.expire(&self.setting, now);
+        self.register.expire(&self.settings, now);
         let verdicts = tasks
             .iter()
             .map(|task| self.start_one(entry, task, now))
@@ -113,23 +113,23 @@
 
     /// Counts tasks of a start frame that the agent settles without a slot: repeats, and
     /// starts that its ledger rejects.
-    pub fn skip(&mut self, entry: &Process, tasks: u32, now: Duration) {
+    pub fn count_skipped(&mut self, entry: &Process, tasks: u32, now: Duration) {
         let demand = self.register.of(entry, now);
         demand.seen = demand.seen.wrapping_add(tasks);
     }
 
     /// Takes in a demand frame, or a start frame without tasks.
-    pub fn ask(&mut self, entry: &Process, ask: &Ask, now: Duration) {
+    pub fn set_demand(&mut self, entry: &Process, ask: &SlotDemand, now: Duration) {
         self.register.ask(entry, ask, now);
     }
 
     /// A running task ended, however it ended.
-    pub fn finish(&mut self, key: &Key, now: Duration) -> Finish {
-        self.register.expire(&self.setting, now);
+    pub fn finish(&mut self, key: &TaskKey, now: Duration) -> Finish {
+        self.register.expire(&self.settings, now);
         let entry = self.running.remove(key);
         let next = self.run_queued();
         let Some(entry) = entry else {
-            let load = Load::default();
+            let load = LoadReport::default();
             return Finish { load, next };
         };
         let credit = self.give_on_outcome(&entry, now);
@@ -138,37 +138,39 @@
     }
 
     /// What a reject frame to `entry` says.
-    pub fn report(&mut self, entry: &Process, now: Duration) -> Load {
+    pub fn load_report(&mut self, entry: &Process, now: Duration) -> LoadReport {
         self.load(entry, 0, now)
     }
 
     /// Drops a task that waits here. False if it does not: it runs, ended or never came.
-    pub fn cancel(&mut self, key: &Key) -> bool {
+    pub fn cancel(&mut self, key: &TaskKey) -> bool {
         self.queue.remove(key)
     }
 
     /// Drops all tasks of a job that wait here, and names them.
-    pub fn cancel_job(&mut self, job: Job) -> Vec<Key> {
+    pub fn cancel_job(&mut self, job: Job) -> Vec<TaskKey> {
         self.queue.remove_job(job)
     }
 
     /// The connection to an entry is gone: its credits and demand are void. Its tasks
     /// run on, their outcomes are kept for whoever asks.
-    pub fn lose(&mut self, entry: &Process) {
+    pub fn disconnect(&mut self, entry: &Process) {
         self.register.remove(entry);
     }
 
     /// The queued tasks to run and the grant frames to send now. Call after every event
-    /// and at [`Self::wake`].
+    /// and at [`Self::next_poll`].
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
-        self.register.expire(&self.setting, now);
+        self.register.expire(&self.settings, now);
         let mut actions = Vec::new();
         while let Some((entry, key)) = self.run_queued() {
             actions.push(Action::Run { entry, key });
         }
         let mut granted: BTreeMap<Process, u16> = BTreeMap::new();
         while let Some(entry) = self.next_grant(now) {
-            self.register.of(&entry, now).give(now, self.setting.hold);
+            self.register
+                .of(&entry, now)
+                .give(now, self.settings.credit_lifetime);
             *granted.entry(entry).or_default() += 1;
         }
         for (entry, credit) in granted {
@@ -180,8 +182,10 @@
 
     /// When [`Self::poll`] has to be called at the latest, if no event comes before.
     #[must_use]
-    pub fn wake(&self) -> Option<Duration> {
-        let patience = self.idle_since.map(|since| since + self.setting.patience);
+    pub fn next_poll(&self) -> Option<Duration> {
+        let patience = self
+            .idle_since
+            .map(|since| since + self.settings.piggyback_wait);
         let expiry = self.register.next_expiry();
         patience.into_iter().chain(expiry).min()
     }
@@ -198,7 +202,7 @@
         self.queue.len()
     }
 
-    fn start_one(&mut self, entry: &Process, task: &Placed, now: Duration) -> Verdict {
+    fn start_one(&mut self, entry: &Process, task: &PlacedTask, now: Duration) -> Verdict {
         let key = task.key;
         let open = self.open();
         let demand = self.register.of(entry, now);
@@ -212,7 +216,8 @@
             self.running.insert(key, entry.clone());
             return Verdict::Run;
         }
-        let has_place = task.may_wait && self.queue.len() < usize::from(self.setting.queue);
+        let has_place =
+            task.may_wait && self.queue.len() < usize::from(self.settings.queue_capacity);
         if has_place {
             let due = Due::from_lateness(now, task.lateness);
             self.queue.push(entry, key, due);
@@ -223,13 +228,13 @@
 
     fn open(&self) -> u16 {
         let running = u16::try_from(self.running.len()).unwrap_or(u16::MAX);
-        self.setting
+        self.settings
             .slots
             .saturating_sub(running)
             .saturating_sub(self.register.credits())
     }
 
-    fn run_queued(&mut self) -> Option<(Process, Key)> {
+    fn run_queued(&mut self) -> Option<(Process, TaskKey)> {
         if self.open() == 0 || self.demand_passes_queue() {
             return None;
         }
@@ -245,7 +250,7 @@
             return false;
         };
         let queued = self.queue.first_due();
-        queued.is_some_and(|queued| first.due.plus(self.setting.slack) < queued)
+        queued.is_some_and(|queued| first.due.plus(self.settings.slack) < queued)
     }
 
     /// Gives the open slots to the outcome's entry, as far as no other entry's work is
@@ -256,12 +261,12 @@
             let Some((_, first)) = self.register.first() else {
                 break;
             };
-            let latest = first.due.plus(self.setting.slack);
+            let latest = first.due.plus(self.settings.slack);
             let own = self.register.of(entry, now);
             if own.waiting == 0 || own.due > latest {
                 break;
             }
-            own.give(now, self.setting.hold);
+            own.give(now, self.settings.credit_lifetime);
             given += 1;
         }
         given
@@ -274,11 +279,11 @@
             return None;
         };
         let since = *self.idle_since.get_or_insert(now);
-        (now >= since + self.setting.patience).then_some(first)
+        (now >= since + self.settings.piggyback_wait).then_some(first)
     }
 
-    fn load(&mut self, entry: &Process, credit: u16, now: Duration) -> Load {
-        Load {
+    fn load(&mut self, entry: &Process, credit: u16, now: Duration) -> LoadReport {
+        LoadReport {
             open: self.open(),
             queued: u16::try_from(self.queue.len()).unwrap_or(u16::MAX),
             own: u16::try_from(self.queue.of(entry)).unwrap_or(u16::MAX),
--- a/crates/cassiarock-policy/tests/cost.rs
+++ b/crates/cassiarock-policy/tests/cost.rs
@@ -1,9 +1,9 @@
 //! What a placement costs as the pool grows.
 
-use cassiarock_id::{Process, Task, Wall};
-use cassiarock_policy::note::Load;
-use cassiarock_policy::place::{Action, Job, Key, Placer, Setting, Upstream};
-use cassiarock_policy::{Due, Kind};
+use cassiarock_id::{Job, Process, Task, Wall};
+use cassiarock_policy::load::LoadReport;
+use cassiarock_policy::place::{Action, Placer, ReadyTasks, Settings, TaskKey, Upstream};
+use cassiarock_policy::{Due, PlacementPolicy};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 /// An entry in steady state, seven of ten slots in use.
 struct Desk {
     placer: Placer,
-    running: VecDeque<(Process, Key)>,
+    running: VecDeque<(Process, TaskKey)>,
     seen: Vec<(u32, u16)>,
     next: u64,
     /// Time spent in placement decisions.
@@ -21,7 +21,7 @@
 
 impl Desk {
     fn new(upstreams: usize) -> Self {
-        let mut placer = Placer::new(Setting::new(Kind::Credits), 1);
+        let mut placer = Placer::new(Settings::new(PlacementPolicy::Credits), 1);
         for index in 0..upstreams {
             let agent = Process::new(format!("agent-{index}"), 1);
             placer.add(Upstream::new(agent, 8));
@@ -39,10 +39,10 @@
 
     fn start(&mut self) {
         self.next += 1;
-        let id = cassiarock_id::Job::with_bits(Wall::from_millis(1), self.next);
+        let id = Job::with_bits(Wall::from_millis(1), self.next);
         let now = Duration::from_micros(self.next);
         let due = Due::new(now, Duration::from_millis(100));
-        self.placer.admit(Job::new(id, due, vec![Task(0)]));
+        self.placer.enqueue(ReadyTasks::new(id, due, vec![Task(0)]));
         let begin = Instant::now();
         let actions = self.placer.poll(now);
         self.placing += begin.elapsed();
@@ -61,10 +61,10 @@
         if let Some((agent, key)) = self.running.pop_front() {
             let (seen, running) = &mut self.seen[number(&agent)];
             *running -= 1;
-            let load = Load {
+            let load = LoadReport {
                 open: 8_u16.saturating_sub(*running),
                 seen: *seen,
-                ..Load::default()
+                ..LoadReport::default()
             };
             let now = Duration::from_micros(self.next);
             self.placer.end(&agent, &key, Some(load), now);
--- a/crates/cassiarock-policy/tests/model/entry.rs
+++ b/crates/cassiarock-policy/tests/model/entry.rs
@@ -3,11 +3,11 @@
 use super::load::Job;
 use super::world::{Shape, id};
 use cassiarock_id::{Name, Process, Task};
-use cassiarock_policy::dispatch::{Answer, Dispatcher, End, Submission};
-use cassiarock_policy::note::Load;
-use cassiarock_policy::place::{Key, Upstream};
-use cassiarock_policy::retry::Proof;
-use cassiarock_policy::size::Need;
+use cassiarock_policy::dispatch::{Answer, Dispatcher, Outcome, Submission};
+use cassiarock_policy::load::LoadReport;
+use cassiarock_policy::place::{TaskKey, Upstream};
+use cassiarock_policy::retry::RetrySafety;
+use cassiarock_policy::size::Resources;
 use std::time::Duration;
 
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     pub fn add(&mut self, agent: &Process, slots: u16) {
         let upstream = Upstream::new(agent.clone(), slots);
         self.dispatcher
-            .add(upstream, Need::new(64_000, 128 << 10, 0));
+            .add(upstream, Resources::new(64_000, 128 << 10, 0));
     }
 
     /// Admits a job and releases its tasks, or refuses it.
@@ -41,9 +41,9 @@
         let kind = Name::from(format!("kind-{}", job.kind));
         let tasks = job.runs.len();
         let submission = Submission::new(id(index), team, kind, tasks)
-            .with_declared(job.declared)
+            .with_declared_run_time(job.declared)
             .with_deadline(job.within);
-        let answer = self.dispatcher.offer(&submission, now);
+        let answer = self.dispatcher.admit(&submission, now);
         if answer == Answer::Admit {
             let tasks = (0..tasks).map(|task| Task(task as u16)).collect();
             self.dispatcher.release(id(index), tasks, None, now);
@@ -55,16 +55,16 @@
     pub fn end(
         &mut self,
         agent: &Process,
-        key: &Key,
-        load: Load,
+        key: &TaskKey,
+        load: LoadReport,
         ran: Option<Duration>,
         now: Duration,
     ) -> Option<Duration> {
-        let end = ran.map_or(End::Failed, End::Done);
+        let end = ran.map_or(Outcome::Failed, Outcome::Done);
         self.dispatcher.end(agent, key, end, Some(load), now);
         if ran.is_some() {
             return None;
         }
-        self.dispatcher.retry(Proof::Repeatable, 0)
+        self.dispatcher.retry(RetrySafety::Idempotent, 0)
     }
 }
--- a/crates/cassiarock-policy/tests/model/world.rs
+++ b/crates/cassiarock-policy/tests/model/world.rs
@@ -4,10 +4,10 @@
 use super::load::Job;
 use cassiarock_id::{Process, Wall};
 use cassiarock_policy::dispatch::{self, Answer};
-use cassiarock_policy::note::{Ask, Load};
-use cassiarock_policy::place::{self, Key, Placed};
-use cassiarock_policy::slot::{self, Pool, Verdict};
-use cassiarock_policy::{Kind, Weight};
+use cassiarock_policy::load::{LoadReport, SlotDemand};
+use cassiarock_policy::place::{self, PlacedTask, TaskKey};
+use cassiarock_policy::slot::{self, SlotScheduler, Verdict};
+use cassiarock_policy::{Objective, PlacementPolicy};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
@@ -18,27 +18,27 @@
     pub agents: usize,
     pub slots: u16,
     pub delay: Duration,
-    pub dispatch: dispatch::Setting,
-    pub slot: slot::Setting,
+    pub dispatch: dispatch::Settings,
+    pub slot: slot::Settings,
     pub seed: u64,
 }
 
 impl Shape {
-    pub fn new(kind: Kind, delay: Duration) -> Self {
+    pub fn new(kind: PlacementPolicy, delay: Duration) -> Self {
         Self {
             entries: 3,
             agents: 11,
             slots: 8,
             delay,
-            dispatch: dispatch::Setting::new(kind, Weight::default()),
-            slot: slot::Setting::new(8),
+            dispatch: dispatch::Settings::new(kind, Objective::default()),
+            slot: slot::Settings::new(8),
             seed: 1,
         }
     }
 
-    pub fn with_weight(mut self, weight: Weight) -> Self {
-        self.dispatch.place = self.dispatch.place.with_weight(weight);
-        self.slot = self.slot.with_weight(weight);
+    pub fn with_objective(mut self, weight: Objective) -> Self {
+        self.dispatch.place = self.dispatch.place.with_objective(weight);
+        self.slot = self.slot.with_objective(weight);
         self
     }
 }
@@ -91,19 +91,19 @@
 #[derive(Debug)]
 enum Event {
     Arrive(usize),
-    Start(usize, usize, Vec<Placed>, Ask),
-    Demand(usize, usize, Ask),
+    Start(usize, usize, Vec<PlacedTask>, SlotDemand),
+    Demand(usize, usize, SlotDemand),
     Drop(usize, cassiarock_id::Job),
-    Outcome(usize, usize, Key, Load, Option<Duration>),
-    Reject(usize, usize, Key, Load),
-    Grant(usize, usize, Load),
-    End(usize, Key, Option<Duration>),
+    Outcome(usize, usize, TaskKey, LoadReport, Option<Duration>),
+    Reject(usize, usize, TaskKey, LoadReport),
+    Grant(usize, usize, LoadReport),
+    End(usize, TaskKey, Option<Duration>),
     WakeEntry(usize),
     WakeAgent(usize),
     Tick,
     Deadline(usize),
     Cancel(usize),
-    Retry(usize, Key),
+    Retry(usize, TaskKey),
     Fault(usize, Fault),
     Outage(bool),
 }
@@ -116,7 +116,7 @@
     shape: Shape,
     jobs: &'a [Job],
     entries: Vec<Entry>,
-    agents: Vec<(Process, Pool)>,
+    agents: Vec<(Process, SlotScheduler)>,
     index: HashMap<Process, usize>,
     events: BTreeMap<(Duration, u64), Event>,
     next: u64,
@@ -133,7 +133,12 @@
 impl<'a> World<'a> {
     pub fn new(shape: Shape, jobs: &'a [Job]) -> Self {
         let agents: Vec<_> = (0..shape.agents)
-            .map(|i| (Process::new(format!("agent-{i}"), 1), Pool::new(shape.slot)))
+            .map(|i| {
+                (
+                    Process::new(format!("agent-{i}"), 1),
+                    SlotScheduler::new(shape.slot),
+                )
+            })
             .collect();
         let names: Vec<Process> = agents.iter().map(|(name, _)| name.clone()).collect();
         let entries: Vec<_> = (0..shape.entries)
@@ -243,7 +248,7 @@
             Event::Reject(entry, agent, key, load) => {
                 let name = &self.agents[agent].0;
                 let dispatcher = &mut self.entries[entry].dispatcher;
-                dispatcher.reject(name, &key, false, load, self.now);
+                dispatcher.requeue(name, &key, false, load, self.now);
                 self.poll_entry(entry);
             }
             Event::Grant(entry, agent, load) => {
@@ -278,7 +283,7 @@
         self.poll_entry(entry);
     }
 
-    fn start(&mut self, agent: usize, entry: usize, tasks: &[Placed], ask: &Ask) {
+    fn start(&mut self, agent: usize, entry: usize, tasks: &[PlacedTask], ask: &SlotDemand) {
         if self.is_out {
             return;
         }
@@ -290,7 +295,7 @@
                 Verdict::Queued => {}
                 Verdict::Full => {
                     self.count.rejects += 1;
-                    let load = self.agents[agent].1.report(&name, self.now);
+                    let load = self.agents[agent].1.load_report(&name, self.now);
                     self.send(Event::Reject(entry, agent, task.key, load));
                 }
             }
@@ -298,13 +303,13 @@
         self.poll_agent(agent);
     }
 
-    fn demand(&mut self, agent: usize, entry: usize, ask: &Ask) {
+    fn demand(&mut self, agent: usize, entry: usize, ask: &SlotDemand) {
         let name = self.entries[entry].name.clone();
-        self.agents[agent].1.ask(&name, ask, self.now);
+        self.agents[agent].1.set_demand(&name, ask, self.now);
         self.poll_agent(agent);
     }
 
-    fn begin(&mut self, agent: usize, key: Key) {
+    fn begin(&mut self, agent: usize, key: TaskKey) {
         let job = &self.jobs[index(key.job)];
         // The start message is void after the caller's deadline.
         if self.now >= job.at + job.within {
@@ -323,7 +328,7 @@
         self.at(self.now + run, Event::End(agent, key, ran));
     }
 
-    fn end(&mut self, agent: usize, key: &Key, ran: Option<Duration>) {
+    fn end(&mut self, agent: usize, key: &TaskKey, ran: Option<Duration>) {
         let finish = self.agents[agent].1.finish(key, self.now);
         if let Some((_, next)) = finish.next {
             self.begin(agent, next);
@@ -339,8 +344,8 @@
         &mut self,
         entry: usize,
         agent: usize,
-        key: &Key,
-        load: Load,
+        key: &TaskKey,
+        load: LoadReport,
         ran: Option<Duration>,
     ) {
         let job = index(key.job);
@@ -389,7 +394,7 @@
                 let name = self.agents[agent].0.clone();
                 if is_out {
                     let entry_name = self.entries[entry].name.clone();
-                    self.agents[agent].1.lose(&entry_name);
+                    self.agents[agent].1.disconnect(&entry_name);
                     self.lose(entry, &name);
                 } else {
                     self.entries[entry].add(&name, self.shape.slots);
@@ -400,20 +405,22 @@
     }
 
     fn lose(&mut self, entry: usize, agent: &Process) {
-        for key in self.entries[entry].dispatcher.lose(agent) {
+        for key in self.entries[entry].dispatcher.disconnect(agent) {
             self.abandon(index(key.job), End::Failed);
         }
     }
 
     fn tick(&mut self) {
         for entry in 0..self.entries.len() {
-            for job in self.entries[entry].dispatcher.hopeless(self.now) {
+            for job in self.entries[entry].dispatcher.infeasible_jobs(self.now) {
                 self.abandon(index(job), End::Failed);
             }
-            let news = self.entries[entry].dispatcher.news();
+            let news = self.entries[entry].dispatcher.usage_updates();
             let name = self.entries[entry].name.clone();
             for other in (0..self.entries.len()).filter(|other| *other != entry) {
-                self.entries[other].dispatcher.hear(&name, &news, self.now);
+                self.entries[other]
+                    .dispatcher
+                    .apply_usage(&name, &news, self.now);
             }
             self.poll_entry(entry);
         }
@@ -445,7 +452,7 @@
                 }
             }
         }
-        if let Some(wake) = self.entries[entry].dispatcher.wake() {
+        if let Some(wake) = self.entries[entry].dispatcher.next_poll() {
             let wake = wake.max(self.now + Duration::from_millis(1));
             self.wake(wake, entry, Event::WakeEntry(entry));
         }
@@ -462,7 +469,7 @@
                 }
             }
         }
-        if let Some(wake) = self.agents[agent].1.wake() {
+        if let Some(wake) = self.agents[agent].1.next_poll() {
             let wake = wake.max(self.now + Duration::from_micros(100));
             let slot = self.shape.entries + agent;
             self.wake(wake, slot, Event::WakeAgent(agent));
--- a/crates/cassiarock-policy/tests/place.rs
+++ b/crates/cassiarock-policy/tests/place.rs
@@ -1,30 +1,32 @@
 //! The placement of one entry, event by event.
 
-use cassiarock_id::{Process, Task, Wall};
-use cassiarock_policy::note::Load;
-use cassiarock_policy::place::{Action, Job, Key, Placed, Placer, Setting, Upstream};
-use cassiarock_policy::{Due, Kind};
+use cassiarock_id::{Job, Process, Task, Wall};
+use cassiarock_policy::load::LoadReport;
+use cassiarock_policy::place::{
+    Action, PlacedTask, Placer, ReadyTasks, Settings, TaskKey, Upstream,
+};
+use cassiarock_policy::{Due, PlacementPolicy};
 use std::time::Duration;
 
 fn agent(index: usize) -> Process {
     Process::new(format!("agent-{index}"), 1)
 }
 
-fn placer(kind: Kind, agents: usize) -> Placer {
-    let mut placer = Placer::new(Setting::new(kind), 3);
+fn placer(kind: PlacementPolicy, agents: usize) -> Placer {
+    let mut placer = Placer::new(Settings::new(kind), 3);
     for index in 0..agents {
         placer.add(Upstream::new(agent(index), 8));
     }
     placer
 }
 
-fn job(bits: u64, tasks: u16) -> Job {
-    let id = cassiarock_id::Job::with_bits(Wall::from_millis(1), bits);
+fn job(bits: u64, tasks: u16) -> ReadyTasks {
+    let id = Job::with_bits(Wall::from_millis(1), bits);
     let due = Due::new(Duration::ZERO, Duration::from_millis(u64::from(tasks)));
-    Job::new(id, due, (0..tasks).map(Task).collect())
+    ReadyTasks::new(id, due, (0..tasks).map(Task).collect())
 }
 
-fn started(actions: &[Action]) -> Vec<(Process, Vec<Placed>)> {
+fn started(actions: &[Action]) -> Vec<(Process, Vec<PlacedTask>)> {
     let starts = actions.iter().filter_map(|action| match action {
         Action::Start { agent, tasks, .. } => Some((agent.clone(), tasks.clone())),
         Action::Demand { .. } => None,
@@ -37,20 +39,20 @@
 }
 
 #[yare::parameterized(
-    random = { Kind::Random },
-    two_choices = { Kind::TwoChoices },
-    credits = { Kind::Credits },
+    random = { PlacementPolicy::Random },
+    two_choices = { PlacementPolicy::TwoChoices },
+    credits = { PlacementPolicy::Credits },
 )]
-fn tasks_start_at_once_on_an_idle_pool(kind: Kind) {
+fn tasks_start_at_once_on_an_idle_pool(kind: PlacementPolicy) {
     let mut placer = placer(kind, 11);
-    placer.admit(job(1, 60));
+    placer.enqueue(job(1, 60));
     assert_eq!(count(&placer.poll(Duration::ZERO)), 60);
 }
 
 #[test]
 fn no_upstream_gets_more_tasks_than_it_has_free_slots() {
-    let mut placer = placer(Kind::Credits, 11);
-    placer.admit(job(1, 88));
+    let mut placer = placer(PlacementPolicy::Credits, 11);
+    placer.enqueue(job(1, 88));
     let actions = placer.poll(Duration::ZERO);
     assert_eq!(started(&actions).len(), 11);
     assert!(started(&actions).iter().all(|(_, tasks)| tasks.len() == 8));
@@ -58,17 +60,17 @@
 
 #[test]
 fn a_leaving_upstream_gets_no_task() {
-    let mut placer = placer(Kind::Credits, 2);
-    placer.leave(&agent(0));
-    placer.admit(job(1, 16));
+    let mut placer = placer(PlacementPolicy::Credits, 2);
+    placer.start_leaving(&agent(0));
+    placer.enqueue(job(1, 16));
     let starts = started(&placer.poll(Duration::ZERO));
     assert!(starts.iter().all(|(to, _)| *to == agent(1)), "{starts:?}");
 }
 
 #[test]
 fn the_keeper_of_a_job_gets_none_of_its_tasks() {
-    let mut placer = placer(Kind::Credits, 2);
-    placer.admit(job(1, 8).with_avoid(agent(1)));
+    let mut placer = placer(PlacementPolicy::Credits, 2);
+    placer.enqueue(job(1, 8).with_avoid(agent(1)));
     let starts = started(&placer.poll(Duration::ZERO));
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].0, agent(0));
@@ -76,14 +78,14 @@
 
 #[test]
 fn a_rejected_task_starts_elsewhere() {
-    let mut placer = placer(Kind::Credits, 2);
-    placer.admit(job(1, 1));
+    let mut placer = placer(PlacementPolicy::Credits, 2);
+    placer.enqueue(job(1, 1));
     let (first, tasks) = started(&placer.poll(Duration::ZERO)).remove(0);
-    let full = Load {
+    let full = LoadReport {
         seen: 1,
-        ..Load::default()
+        ..LoadReport::default()
     };
-    placer.reject(&first, &tasks[0].key, false, full, Duration::from_millis(1));
+    placer.requeue(&first, &tasks[0].key, false, full, Duration::from_millis(1));
     let starts = started(&placer.poll(Duration::from_millis(1)));
     assert_eq!(starts.len(), 1);
     assert_ne!(starts[0].0, first);
@@ -91,26 +93,26 @@
 
 #[test]
 fn a_cancelled_job_sends_no_further_start() {
-    let mut placer = placer(Kind::Credits, 1);
-    placer.admit(job(1, 20));
+    let mut placer = placer(PlacementPolicy::Credits, 1);
+    placer.enqueue(job(1, 20));
     // Eight run and four wait ahead at the agent, which has to cancel those.
     assert_eq!(count(&placer.poll(Duration::ZERO)), 12);
     assert_eq!(placer.cancel(job(1, 20).id).len(), 8);
-    let load = Load {
+    let load = LoadReport {
         open: 1,
         seen: 8,
-        ..Load::default()
+        ..LoadReport::default()
     };
-    let done = Key::new(job(1, 20).id, Task(0));
+    let done = TaskKey::new(job(1, 20).id, Task(0));
     placer.end(&agent(0), &done, Some(load), Duration::from_millis(100));
     assert_eq!(placer.poll(Duration::from_millis(100)), []);
 }
 
 #[test]
 fn the_tasks_of_a_lost_upstream_are_named_once() {
-    let mut placer = placer(Kind::Credits, 1);
-    placer.admit(job(1, 3));
+    let mut placer = placer(PlacementPolicy::Credits, 1);
+    placer.enqueue(job(1, 3));
     placer.poll(Duration::ZERO);
-    assert_eq!(placer.lose(&agent(0)).len(), 3);
-    assert_eq!(placer.lose(&agent(0)), []);
+    assert_eq!(placer.disconnect(&agent(0)).len(), 3);
+    assert_eq!(placer.disconnect(&agent(0)), []);
 }
