--- a/crates/cassiarock-dispatch/src/agent.rs
+++ b/crates/cassiarock-dispatch/src/agent.rs
@@ -9,9 +9,9 @@
 use cassiarock_id::Process;
 use cassiarock_peer::{Event, Links};
 use cassiarock_process::{Clock, Status};
-use cassiarock_transient::directory::Taken;
-use cassiarock_transient::host::{Action, Answer, Snapshot, Task};
-use cassiarock_transient::{Host, Life, Message, directory, evacuation};
+use cassiarock_transient::directory::ApplyResult;
+use cassiarock_transient::host::{Action, Snapshot, StartResponse, Task};
+use cassiarock_transient::{Host, Incarnation, Message, directory, evacuation};
 use cassiarock_wire::{Frame, Hello};
 use kameo::Actor;
 use kameo::message::{Context, Message as Handle};
@@ -72,17 +72,17 @@
     /// What the directory of entries holds.
     Directory(directory::Update),
     /// A life of the upstream answered a start.
-    Started(Life, Task, Answer, Option<u64>),
+    Started(Incarnation, Task, StartResponse, Option<u64>),
     /// A life of the upstream answered a stop.
-    Stopped(Life, Task, Option<u64>),
+    Stopped(Incarnation, Task, Option<u64>),
     /// What shall the next poll ask for? None without an upstream.
     Poll(oneshot::Sender<Option<Poll>>),
     /// What a poll showed.
     Snapshot(Snapshot),
     /// This life of the upstream is gone; another one answers.
-    Gone(Life),
+    Gone(Incarnation),
     /// This life of the upstream has seen a higher fence than this agent's.
-    Fenced(Life),
+    Fenced(Incarnation),
     /// Take no new tasks.
     Leave,
 }
@@ -121,17 +121,17 @@
         self.ask_directory(now);
         self.keep_links(now);
         self.report();
-        Ok(self.host.wake(now).saturating_sub(now))
+        Ok(self.host.next_poll(now).saturating_sub(now))
     }
 }
 
 impl Agent {
     fn take(&mut self, input: Input, now: Duration) -> Vec<Action> {
         match input {
-            Input::Report(Report::Here(worker)) => self.host.report(worker, now),
+            Input::Report(Report::Here(worker)) => self.host.handle_report(worker, now),
             Input::Report(Report::Gone(id)) => self.host.deregister(&id, now),
-            Input::Gone(life) => self.host.replaced(&life, now),
-            Input::Fenced(life) => self.host.fenced(&life),
+            Input::Gone(life) => self.host.handle_replacement(&life, now),
+            Input::Fenced(life) => self.host.raise_fence(&life),
             Input::Link(event) => self.event(event, now),
             Input::Entry(address) => {
                 self.mesh.meet_seed(address);
@@ -141,16 +141,18 @@
                 self.mesh.direct(&update);
                 Vec::new()
             }
-            Input::Started(life, task, answer, clock) => {
-                self.host.started(&life, &task, answer, clock, now)
+            Input::Started(life, task, answer, clock) => self
+                .host
+                .handle_start_response(&life, &task, answer, clock, now),
+            Input::Stopped(life, task, clock) => {
+                self.host.handle_stop_response(&life, &task, clock, now)
             }
-            Input::Stopped(life, task, clock) => self.host.stopped(&life, &task, clock, now),
             Input::Poll(reply) => {
                 // The polls end with the process.
                 let _ = reply.send(self.next_poll(now));
                 Vec::new()
             }
-            Input::Snapshot(snapshot) => self.host.observe(&snapshot, now),
+            Input::Snapshot(snapshot) => self.host.handle_snapshot(&snapshot, now),
             Input::Leave => {
                 self.status.send_modify(|status| status.leaving = true);
                 self.host.leave()
@@ -162,9 +164,9 @@
         let target = self.target().filter(|_| !self.is_upstream_gone())?;
         Some(Poll {
             target,
-            seen: self.host.seen(now),
-            until: self.host.renew(now),
-            wait: self.host.wait(),
+            seen: self.host.last_seen_end(now),
+            until: self.host.renew_leases(now),
+            wait: self.host.poll_wait(),
             asked: now,
         })
     }
@@ -172,7 +174,7 @@
     fn target(&self) -> Option<Target> {
         let worker = self.host.worker()?;
         Some(Target {
-            life: worker.life(),
+            life: worker.incarnation(),
             fence: self.host.fence(),
         })
     }
@@ -212,13 +214,13 @@
                 Vec::new()
             }
             Message::Directory(update) => {
-                if self.mesh.direct(&update) == Taken::Gap {
+                if self.mesh.direct(&update) == ApplyResult::Gap {
                     self.ahead = Some((peer.process.clone(), update.next));
                 }
                 Vec::new()
             }
             Message::Evacuations(state) => self.evacuate(&state, &peer.process),
-            message => self.host.message(&peer.process, message, now),
+            message => self.host.handle_message(&peer.process, message, now),
         }
     }
 
@@ -228,7 +230,7 @@
         let Some((entry, next)) = &self.ahead else {
             return;
         };
-        if *next <= self.mesh.directory().next() {
+        if *next <= self.mesh.directory().next_offset() {
             self.ahead = None;
             return;
         }
@@ -245,10 +247,10 @@
         }
         let is_evacuated = self.evacuations.covers(&self.mesh.identity().data_centre);
         if is_evacuated != self.host.is_evacuated() {
-            log::info!(evacuated = is_evacuated, offset = state.next(), from:% = from, running = self.host.running(); "evacuation");
+            log::info!(evacuated = is_evacuated, offset = state.next(), from:% = from, running = self.host.attempt_count(); "evacuation");
         }
         metrics::gauge!("cassiarock_evacuated").set(f64::from(u8::from(is_evacuated)));
-        self.host.evacuate(is_evacuated)
+        self.host.set_evacuated(is_evacuated)
     }
 
     /// Links to the entries that the roster wants, and to no others.
@@ -262,7 +264,7 @@
 
     fn retire(&mut self, entry: &Process, is_retired: bool) {
         log::info!(dependency:% = entry, retired = is_retired; "link is one too many");
-        let actions = self.host.retire(entry, is_retired);
+        let actions = self.host.set_retired(entry, is_retired);
         self.carry_out(actions);
     }
 
@@ -286,13 +288,13 @@
                         self.orders.poll_now(poll);
                     }
                 }
-                Action::Tell(decision) => tell(&decision),
+                Action::Log(decision) => tell(&decision),
             }
         }
     }
 
     fn report(&self) {
-        let (running, links) = (self.host.running(), self.links.len());
+        let (running, links) = (self.host.attempt_count(), self.links.len());
         let ready = !self.is_upstream_gone();
         metrics::gauge!("cassiarock_tasks_running").set(running as f64);
         self.status.send_if_modified(|status| {
--- a/crates/cassiarock-dispatch/src/directory.rs
+++ b/crates/cassiarock-dispatch/src/directory.rs
@@ -7,7 +7,7 @@
 use cassiarock_id::{Name, Process, Wall};
 use cassiarock_platform::follow::Backoff;
 use cassiarock_process::Status;
-use cassiarock_transient::directory::{Gathering, Place, Update};
+use cassiarock_transient::directory::{Endpoint, Update, UpdateBuilder};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -39,7 +39,7 @@
 /// It guards against records that pile up: a VM that is replaced comes back at another address,
 /// and agents dial every address on record, so that in the end they would have no dial left
 /// for those that live.
-pub(crate) async fn announce(store: Store, place: Place, process: Process) {
+pub(crate) async fn announce(store: Store, place: Endpoint, process: Process) {
     put(&store, PART, &place, &process).await;
     loop {
         put(&store, RENEWED, &place, &process).await;
@@ -52,7 +52,7 @@
 }
 
 /// Puts the record of an entry, trying until the store takes it.
-async fn put(store: &Store, part: Part<'_>, place: &Place, process: &Process) {
+async fn put(store: &Store, part: Part<'_>, place: &Endpoint, process: &Process) {
     let mut backoff = Backoff::default();
     loop {
         let now = Wall::now().as_millis();
@@ -105,8 +105,8 @@
     renewed.is_some_and(|millis| now.since(Wall::from_millis(millis)) > GONE)
 }
 
-fn place(entry: &Entry) -> Place {
-    Place::new(&*entry.key, data_centre(&entry.value))
+fn place(entry: &Entry) -> Endpoint {
+    Endpoint::new(&*entry.key, data_centre(&entry.value))
 }
 
 /// The data centre in a record of an entry; empty if it says none.
@@ -136,7 +136,7 @@
 
 /// Gives what changes in the directory, for ever: to an entry, which passes it on.
 pub(crate) async fn updates(store: Store, found: mpsc::UnboundedSender<Update>) {
-    let mut gathering = Gathering::default();
+    let mut gathering = UpdateBuilder::default();
     let tell = |update| {
         if found.send(update).is_err() {
             log::debug!("directory of entries: the process is ending");
@@ -144,7 +144,7 @@
     };
     follow(store, FEED, |news| match news {
         News::Newest(entries, end) => {
-            tell(Update::all(end, entries.iter().map(place)));
+            tell(Update::full(end, entries.iter().map(place)));
         }
         News::Record(offset, key, value) => {
             let data_centre = (!value.is_empty()).then(|| data_centre(value));
@@ -167,7 +167,7 @@
         let pause = match store.newest(PART).await {
             Ok((entries, end)) => {
                 backoff.succeed();
-                let update = Update::all(end, entries.iter().map(place));
+                let update = Update::full(end, entries.iter().map(place));
                 let is_empty = update.present.is_empty();
                 if found.send(Input::Directory(update)).await.is_err() {
                     return;
--- a/crates/cassiarock-dispatch/src/entry/links.rs
+++ b/crates/cassiarock-dispatch/src/entry/links.rs
@@ -5,7 +5,7 @@
 use crate::packed::unpack;
 use cassiarock_id::Process;
 use cassiarock_peer::Event;
-use cassiarock_transient::directory::{Place, Taken};
+use cassiarock_transient::directory::{ApplyResult, Endpoint};
 use cassiarock_transient::scheduler::Action;
 use cassiarock_transient::{Message, directory, timing};
 use cassiarock_wire::{Frame, Hello, Role};
@@ -27,7 +27,7 @@
                     Role::Agent => {
                         self.scheduler.link(&peer.process, &peer.data_centre, now);
                         self.tell_entries(&peer.process);
-                        let version = Message::Directory(self.mesh.directory().version());
+                        let version = Message::Directory(self.mesh.directory().empty_update());
                         send(&self.links, &peer.process, version);
                     }
                     Role::Entry => self.meet(&peer),
@@ -45,7 +45,7 @@
                     self.scheduler.unlink(&peer.process);
                     self.lag.lose(&peer.process);
                     // Agents have its address; new ones are told of it again when it is back.
-                    let place = Place::new(peer.address.clone(), peer.data_centre.clone());
+                    let place = Endpoint::new(peer.address.clone(), peer.data_centre.clone());
                     self.entries.remove(&place);
                 }
                 Vec::new()
@@ -55,7 +55,7 @@
 
     pub(super) fn message(&mut self, peer: &Hello, message: Message, now: Duration) -> Vec<Action> {
         match (peer.role, message) {
-            (Role::Entry, Message::EntryBeat { version, .. }) => {
+            (Role::Entry, Message::EntryHeartbeat { version, .. }) => {
                 let is_sending = self.store.is_receiving();
                 if version > self.version() && self.lag.is_to_ask(&peer.process, is_sending, now) {
                     log::info!(dependency:% = peer.process, version = version, before = self.version(); "configuration asked for");
@@ -77,7 +77,7 @@
                 Vec::new()
             }
             (Role::Agent, Message::AskDirectory) => {
-                let all = Message::Directory(self.mesh.directory().all());
+                let all = Message::Directory(self.mesh.directory().full_update());
                 send(&self.links, &peer.process, all);
                 Vec::new()
             }
@@ -91,7 +91,7 @@
 
     /// An entry that the store turns away is known to its agents through others.
     pub(super) fn meet(&mut self, peer: &Hello) {
-        let place = Place::new(peer.address.clone(), peer.data_centre.clone());
+        let place = Endpoint::new(peer.address.clone(), peer.data_centre.clone());
         if self.entries.len() < ENTRIES && self.entries.insert(place.clone()) {
             // Only the new one: the whole list to all agents would be 100 MB with 600 entries.
             let news = vec![place];
@@ -119,7 +119,7 @@
             .all()
             .filter(|link| link.peer.role == Role::Entry);
         for link in entries {
-            let message = Message::EntryBeat {
+            let message = Message::EntryHeartbeat {
                 echo: 0,
                 version,
                 ask: None,
@@ -131,12 +131,12 @@
 
     /// Takes what has changed in the directory of entries and passes it on to agents.
     pub(super) fn direct(&mut self, update: &directory::Update) {
-        if !matches!(self.mesh.direct(update), Taken::Changed { .. }) {
+        if !matches!(self.mesh.direct(update), ApplyResult::Changed { .. }) {
             return;
         }
         // An agent that lacks what came before asks for all of it.
         let news = if update.since == 0 {
-            self.mesh.directory().version()
+            self.mesh.directory().empty_update()
         } else {
             update.clone()
         };
--- a/crates/cassiarock-dispatch/src/entry/mod.rs
+++ b/crates/cassiarock-dispatch/src/entry/mod.rs
@@ -12,7 +12,7 @@
 use cassiarock_id::{Name, Wall};
 use cassiarock_peer::{Event, Links};
 use cassiarock_process::{Clock, Status};
-use cassiarock_transient::directory::Place;
+use cassiarock_transient::directory::Endpoint;
 use cassiarock_transient::lag::Lag;
 use cassiarock_transient::scheduler::{Action, Answer};
 use cassiarock_transient::{Scheduler, Table, directory, evacuation};
@@ -67,7 +67,7 @@
     pub(crate) table: watch::Sender<Option<Arc<Table>>>,
     pub(crate) status: watch::Sender<Status>,
     /// Where other entries take links, as they said.
-    pub(crate) entries: BTreeSet<Place>,
+    pub(crate) entries: BTreeSet<Endpoint>,
     /// Links to other entries.
     pub(crate) mesh: Mesh,
     pub(crate) beat: Duration,
--- a/crates/cassiarock-dispatch/src/mesh.rs
+++ b/crates/cassiarock-dispatch/src/mesh.rs
@@ -2,8 +2,8 @@
 
 use cassiarock_id::Process;
 use cassiarock_peer::{Dialer, Event, Identity, Key, Link};
-use cassiarock_transient::directory::{self, Place, Taken, Update};
-use cassiarock_transient::roster::{Roster, Step};
+use cassiarock_transient::directory::{self, ApplyResult, Endpoint, Update};
+use cassiarock_transient::roster::{LinkAction, Roster};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -52,14 +52,14 @@
     }
 
     /// Takes what has changed in the directory of entries.
-    pub(crate) fn direct(&mut self, update: &Update) -> Taken {
-        let taken = self.directory.take(update);
-        if let Taken::Changed { added, removed } = &taken {
+    pub(crate) fn direct(&mut self, update: &Update) -> ApplyResult {
+        let taken = self.directory.apply(update);
+        if let ApplyResult::Changed { added, removed } = &taken {
             log::info!(added = added, removed = removed.len(), offset = update.next; "directory of entries");
             // Each present one, known or not: it may have started again.
             update.present.iter().for_each(|place| self.meet(place));
             for address in removed.iter().filter_map(|address| address.parse().ok()) {
-                let step = self.roster.forget(address);
+                let step = self.roster.remove(address);
                 step.into_iter().for_each(|step| {
                     self.step(step);
                 });
@@ -70,7 +70,7 @@
 
     /// An entry takes links there, perhaps since a moment. A record of another writer may name no
     /// address.
-    pub(crate) fn meet(&mut self, place: &Place) {
+    pub(crate) fn meet(&mut self, place: &Endpoint) {
         let is_near = place.data_centre == self.identity.data_centre;
         if let Ok(address) = place.address.parse() {
             self.meet_at(address, is_near);
@@ -86,7 +86,7 @@
         if *self.identity.address == *address.to_string() {
             return;
         }
-        self.roster.tell(address, is_near);
+        self.roster.add(address, is_near);
         if let Some(dialer) = self.dialers.get(&address) {
             dialer.nudge();
         }
@@ -96,13 +96,13 @@
     pub(crate) fn up(&mut self, link: &Link) {
         if let Some(address) = link.dialled {
             let entry = link.peer.process.clone();
-            self.roster.up(address, entry, link.serial);
+            self.roster.link_opened(address, entry, link.serial);
         }
     }
 
     /// A link ended.
     pub(crate) fn down(&mut self, serial: u64, now: Duration) {
-        self.roster.down(serial, now);
+        self.roster.link_closed(serial, now);
     }
 
     /// Dials and drops links as the roster wants. Gives the entries that are to be told that
@@ -119,24 +119,24 @@
             .collect()
     }
 
-    fn step(&mut self, step: Step) -> Option<Retired> {
+    fn step(&mut self, step: LinkAction) -> Option<Retired> {
         match step {
-            Step::Dial(address) => {
+            LinkAction::Dial(address) => {
                 let (me, key) = (self.identity.clone(), self.key.clone());
                 let dialer = Dialer::new(address, None, me, key, self.events.clone());
                 self.dialers.insert(address, dialer);
                 None
             }
-            Step::Drop(address) => {
+            LinkAction::Drop(address) => {
                 log::info!(address:% = address; "not linked any more");
                 self.dialers.remove(&address);
                 None
             }
-            Step::Retire(entry) => Some(Retired {
+            LinkAction::Retire(entry) => Some(Retired {
                 entry,
                 is_retired: true,
             }),
-            Step::Resume(entry) => Some(Retired {
+            LinkAction::Resume(entry) => Some(Retired {
                 entry,
                 is_retired: false,
             }),
--- a/crates/cassiarock-dispatch/src/orders.rs
+++ b/crates/cassiarock-dispatch/src/orders.rs
@@ -4,7 +4,7 @@
 use cassiarock_adapter::Worker;
 use cassiarock_adapter::worker::{CONNECTIONS, Fault, Target};
 use cassiarock_id::Name;
-use cassiarock_transient::host::{Answer, Task, pause};
+use cassiarock_transient::host::{StartResponse, Task, poll_backoff};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -75,7 +75,7 @@
                 Err(Fault::Fenced) => Input::Fenced(life),
                 Err(Fault::Call(error)) => {
                     log::warn!(task:% = task; "{error}");
-                    Input::Started(life, task, Answer::Silent, None)
+                    Input::Started(life, task, StartResponse::NoResponse, None)
                 }
             };
             metrics::histogram!("cassiarock_start_seconds").record(began.elapsed());
@@ -147,7 +147,7 @@
             }
             if !is_answered {
                 failures += 1;
-                tokio::time::sleep(pause(failures)).await;
+                tokio::time::sleep(poll_backoff(failures)).await;
             }
         }
     }
--- a/crates/cassiarock-dispatch/src/run/entry.rs
+++ b/crates/cassiarock-dispatch/src/run/entry.rs
@@ -13,9 +13,9 @@
 use cassiarock_process::{
     BACKLOG, Clock, Fault, Parts, Pump, Report, Stage, Status, forward, until,
 };
-use cassiarock_transient::directory::Place;
+use cassiarock_transient::directory::Endpoint;
 use cassiarock_transient::lag::Lag;
-use cassiarock_transient::roster::{PEERS, Roster};
+use cassiarock_transient::roster::{LINKS_PER_ENTRY, Roster};
 use cassiarock_transient::{Scheduler, Table};
 use cassiarock_wire::Role;
 use kameo::actor::Spawn;
@@ -96,7 +96,7 @@
         let first = Status::new(process.clone(), "entry", settings.data_centre.clone());
         let (status, statuses) = watch::channel(first);
         let (table, tables) = watch::channel(None);
-        let roster = Roster::new(process.name.clone()).with_links(PEERS);
+        let roster = Roster::new(process.name.clone()).with_links(LINKS_PER_ENTRY);
         let mesh = Mesh::new(roster, identity.clone(), Key::new(KEY), events.clone());
         let actor = Entry::spawn(new(mesh, table, status, store.clone()));
 
@@ -118,7 +118,7 @@
             reload(file, settings.clone(), seeds),
         );
         parts.spawn("addresses", forward(seeded, inputs.clone(), Input::Entry));
-        let place = Place::new(settings.peers.to_string(), settings.data_centre.clone());
+        let place = Endpoint::new(settings.peers.to_string(), settings.data_centre.clone());
         let (changes, changed) = mpsc::unbounded_channel();
         parts.spawn_vital(
             "the directory of entries",
--- a/crates/cassiarock-lab/src/simulation/agents.rs
+++ b/crates/cassiarock-lab/src/simulation/agents.rs
@@ -5,9 +5,9 @@
 use crate::scenario::{Group, What};
 use crate::upstream::{Run, Upstream, millis};
 use cassiarock_id::{Name, Process};
-use cassiarock_transient::host::{Action, Answer, Task, Worker};
-use cassiarock_transient::message::End;
-use cassiarock_transient::{Host, Life};
+use cassiarock_transient::host::{Action, StartResponse, Task, Worker};
+use cassiarock_transient::message::Outcome;
+use cassiarock_transient::{Host, Incarnation};
 use rand::RngExt;
 use std::time::Duration;
 
@@ -53,8 +53,11 @@
 
 impl Agent {
     /// The life of its upstream.
-    fn life(&self) -> Life {
-        self.host.worker().map(Worker::life).unwrap_or_default()
+    fn life(&self) -> Incarnation {
+        self.host
+            .worker()
+            .map(Worker::incarnation)
+            .unwrap_or_default()
     }
 }
 
@@ -89,7 +92,7 @@
         // It has said nothing yet, and has nobody to tell.
         let _ = agent
             .host
-            .evacuate(self.evacuations.covers(&agent.data_centre));
+            .set_evacuated(self.evacuations.covers(&agent.data_centre));
         agent.upstream = new_upstream(agent.cores, agent.memory_mib);
         agent.is_upstream_down = false;
         self.report_upstream(number);
@@ -108,14 +111,14 @@
         agent.births += 1;
         let worker = Worker {
             id: format!("u-{number}").into(),
-            born: Some(agent.births),
+            started_at: Some(agent.births),
             service: "s".into(),
             capacity: room(agent.cores, agent.memory_mib),
             clock: millis(self.now),
             sequence: 1,
             ..Worker::default()
         };
-        let actions = agent.host.report(worker, self.now);
+        let actions = agent.host.handle_report(worker, self.now);
         self.carry_out_agent(number, actions);
     }
 
@@ -157,7 +160,7 @@
         }
         let actions = self.agents[number].host.poll(self.now);
         self.carry_out_agent(number, actions);
-        let wake = self.agents[number].host.wake(self.now);
+        let wake = self.agents[number].host.next_poll(self.now);
         let wake = wake.clamp(self.now + Duration::from_millis(1), self.now + WAKE);
         self.agenda.add(wake, Event::WakeAgent(number, life));
     }
@@ -167,7 +170,9 @@
         if !agent.is_up || agent.process != frame.to {
             return;
         }
-        let actions = agent.host.message(&frame.from, frame.message, self.now);
+        let actions = agent
+            .host
+            .handle_message(&frame.from, frame.message, self.now);
         self.carry_out_agent(number, actions);
     }
 
@@ -184,11 +189,11 @@
             return;
         }
         // The lease itself is not modelled: what runs ends with the upstream or its agent.
-        let _ = agent.host.renew(self.now);
+        let _ = agent.host.renew_leases(self.now);
         let upstream = agent.life();
-        let seen = agent.host.seen(self.now);
+        let seen = agent.host.last_seen_end(self.now);
         let snapshot = agent.upstream.snapshot(upstream, seen, self.now);
-        let actions = agent.host.observe(&snapshot, self.now);
+        let actions = agent.host.handle_snapshot(&snapshot, self.now);
         self.carry_out_agent(number, actions);
     }
 
@@ -213,7 +218,7 @@
                     let event = Event::Poll(number, life, false);
                     self.agenda.add(self.now + CALL, event);
                 }
-                Action::Tell(_) => {}
+                Action::Log(_) => {}
             }
         }
     }
@@ -236,7 +241,7 @@
         let clock = Some(millis(self.now));
         let agent = &mut self.agents[number];
         let started = if agent.is_upstream_down {
-            Err(Answer::Refused)
+            Err(StartResponse::Refused)
         } else {
             agent.upstream.start(run)
         };
@@ -252,7 +257,7 @@
                     let event = Event::End(number, life, run);
                     self.agenda.add(self.now + lasts, event);
                 }
-                Answer::Started
+                StartResponse::Started
             }
             Err(answer) => answer,
         };
@@ -260,12 +265,12 @@
         let upstream = agent.life();
         let actions = agent
             .host
-            .started(&upstream, &task, answer, clock, self.now);
+            .handle_start_response(&upstream, &task, answer, clock, self.now);
         self.carry_out_agent(number, actions);
     }
 
     /// How a task ends that starts now, and after how long; never if it stands still.
-    fn fate(&mut self, number: usize, caller: usize, task: &Task) -> (End, Option<Duration>) {
+    fn fate(&mut self, number: usize, caller: usize, task: &Task) -> (Outcome, Option<Duration>) {
         let index = task.attempt.index as usize;
         let mut lasts = self.callers[caller].runs[index].div_f64(self.agents[number].speed);
         let at = self.now.saturating_sub(crate::caller::FIRST);
@@ -274,14 +279,14 @@
         for what in on {
             match what.what {
                 What::Slow => lasts = lasts.mul_f64(what.factor.max(0.01)),
-                What::Hanging => return (End::Done, None),
+                What::Hanging => return (Outcome::Done, None),
                 What::Failing if self.random.random_range(0.0..1.0) < what.factor => {
-                    return (End::Failed, Some(lasts.mul_f64(FAST)));
+                    return (Outcome::Failed, Some(lasts.mul_f64(FAST)));
                 }
                 _ => {}
             }
         }
-        (End::Done, Some(lasts))
+        (Outcome::Done, Some(lasts))
     }
 
     /// A run crashes the upstream: all that runs there is lost, and it answers nothing until it is
@@ -318,7 +323,9 @@
         let clock = Some(millis(self.now));
         let agent = &mut self.agents[number];
         let upstream = agent.life();
-        let actions = agent.host.stopped(&upstream, task, clock, self.now);
+        let actions = agent
+            .host
+            .handle_stop_response(&upstream, task, clock, self.now);
         self.carry_out_agent(number, actions);
         self.agenda
             .add(self.now + CALL, Event::Poll(number, life, false));
@@ -332,7 +339,7 @@
             return;
         };
         self.account(&run);
-        if run.end == End::Done {
+        if run.end == Outcome::Done {
             let work = self.work(&run);
             *self.tally.done.entry(run.task.job.clone()).or_default() += work;
         }
--- a/crates/cassiarock-lab/src/simulation/emptying.rs
+++ b/crates/cassiarock-lab/src/simulation/emptying.rs
@@ -19,7 +19,7 @@
         for number in 0..self.agents.len() {
             let agent = &mut self.agents[number];
             let is_evacuated = self.evacuations.covers(&agent.data_centre);
-            let actions = agent.host.evacuate(is_evacuated);
+            let actions = agent.host.set_evacuated(is_evacuated);
             self.carry_out_agent(number, actions);
         }
     }
--- a/crates/cassiarock-lab/src/simulation/mod.rs
+++ b/crates/cassiarock-lab/src/simulation/mod.rs
@@ -152,7 +152,7 @@
     fn send(&mut self, from: Process, to: Process, message: Message) {
         let is_beat = matches!(
             message,
-            Message::EntryBeat { .. } | Message::AgentBeat { .. }
+            Message::EntryHeartbeat { .. } | Message::AgentHeartbeat { .. }
         );
         if !is_beat {
             self.tally.frames += 1;
@@ -234,7 +234,7 @@
             }
         }
         for agent in &self.agents {
-            let (held, running) = (agent.host.running(), agent.upstream.running());
+            let (held, running) = (agent.host.attempt_count(), agent.upstream.running());
             if held + running > 0 {
                 let name = &agent.process.name;
                 let fault = format!("{name} has {held} tasks left, its upstream {running}");
--- a/crates/cassiarock-lab/src/upstream.rs
+++ b/crates/cassiarock-lab/src/upstream.rs
@@ -1,9 +1,9 @@
 //! A modelled upstream: it guards its room, and runs what it is told.
 
 use cassiarock_id::Name;
-use cassiarock_transient::host::{Answer, Named, Snapshot, Task};
-use cassiarock_transient::message::End;
-use cassiarock_transient::{Demand, Life};
+use cassiarock_transient::host::{AttemptKey, Snapshot, StartResponse, Task};
+use cassiarock_transient::message::Outcome;
+use cassiarock_transient::{Demand, Incarnation};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     pub(crate) demand: Demand,
     pub(crate) since: Duration,
     /// How it is going to end.
-    pub(crate) end: End,
+    pub(crate) end: Outcome,
 }
 
 /// One upstream in one life.
@@ -22,7 +22,7 @@
 pub(crate) struct Upstream {
     pub(crate) capacity: Demand,
     runs: BTreeMap<u64, Run>,
-    ended: Vec<(u64, Task, End)>,
+    ended: Vec<(u64, Task, Outcome)>,
     ends: u64,
     started: u64,
 }
@@ -39,11 +39,11 @@
     }
 
     /// Starts a task if there is room. Gives the run's number.
-    pub(crate) fn start(&mut self, run: Run) -> Result<u64, Answer> {
+    pub(crate) fn start(&mut self, run: Run) -> Result<u64, StartResponse> {
         let taken = self.runs.values();
         let taken = taken.fold(Demand::default(), |sum, run| sum.plus(&run.demand));
         if !run.demand.fits(&self.capacity.minus(&taken)) {
-            return Err(Answer::Full);
+            return Err(StartResponse::Full);
         }
         self.started += 1;
         self.runs.insert(self.started, run);
@@ -67,21 +67,21 @@
         let found = self.runs.iter().find(|(_, run)| run.task == *task);
         let number = found.map(|(number, _)| *number)?;
         let run = self.runs.remove(&number)?;
-        self.list(run.task.clone(), End::Stopped);
+        self.list(run.task.clone(), Outcome::Stopped);
         Some(run)
     }
 
-    fn list(&mut self, task: Task, end: End) {
+    fn list(&mut self, task: Task, end: Outcome) {
         self.ends += 1;
         self.ended.push((self.ends, task, end));
     }
 
     /// What an agent sees that has taken the ends up to `seen`.
-    pub(crate) fn snapshot(&mut self, life: Life, seen: u64, now: Duration) -> Snapshot {
+    pub(crate) fn snapshot(&mut self, life: Incarnation, seen: u64, now: Duration) -> Snapshot {
         self.ended.retain(|(number, ..)| *number > seen);
-        let named = |task: &Task| -> (Name, Named) {
+        let named = |task: &Task| -> (Name, AttemptKey) {
             let attempt = task.attempt;
-            let named = Named {
+            let named = AttemptKey {
                 stage: attempt.stage,
                 index: attempt.index,
                 attempt: attempt.attempt,
@@ -93,7 +93,7 @@
             (*number, job, attempt, *end)
         });
         Snapshot {
-            life,
+            incarnation: life,
             clock: millis(now),
             asked: now,
             running: self.runs.values().map(|run| named(&run.task)).collect(),
--- a/crates/cassiarock-transient/src/directory.rs
+++ b/crates/cassiarock-transient/src/directory.rs
@@ -16,7 +16,7 @@
 
 /// Where an entry takes links.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Place {
+pub struct Endpoint {
     /// The address.
     pub address: Name,
     /// The data centre; empty if it is not known.
@@ -32,7 +32,7 @@
     places: BTreeMap<Name, Name>,
 }
 
-impl Place {
+impl Endpoint {
     /// An address in a data centre.
     #[must_use]
     pub fn new(address: impl Into<Name>, data_centre: impl Into<Name>) -> Self {
@@ -51,14 +51,14 @@
     /// The offset after the last one.
     pub next: u64,
     /// Places of which a record tells in between, or all of them.
-    pub present: Vec<Place>,
+    pub present: Vec<Endpoint>,
     /// Addresses whose records were dropped in between.
     pub gone: Vec<Name>,
 }
 
 /// What became of an update.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum ApplyResult {
     /// All of it was known.
     Known,
     /// The state is that of its end now.
@@ -75,20 +75,20 @@
 impl State {
     /// The offset before which all records are folded in; 0 if nothing is known.
     #[must_use]
-    pub const fn next(&self) -> u64 {
+    pub const fn next_offset(&self) -> u64 {
         self.next
     }
 
     /// All of it, for a process that lacks something.
     #[must_use]
-    pub fn all(&self) -> Update {
+    pub fn full_update(&self) -> Update {
         Update {
             since: 0,
             next: self.next,
             present: self
                 .places
                 .iter()
-                .map(|(address, data_centre)| Place::new(address.clone(), data_centre.clone()))
+                .map(|(address, data_centre)| Endpoint::new(address.clone(), data_centre.clone()))
                 .collect(),
             gone: Vec::new(),
         }
@@ -96,7 +96,7 @@
 
     /// How far it goes, for a process that may lack something.
     #[must_use]
-    pub const fn version(&self) -> Update {
+    pub const fn empty_update(&self) -> Update {
         Update {
             since: self.next,
             next: self.next,
@@ -108,21 +108,21 @@
     /// Takes an update, unless records before it are missing.
     ///
     /// ```
-    /// use cassiarock_transient::directory::{Place, State, Taken, Update};
+    /// use cassiarock_transient::directory::{ApplyResult, Endpoint, State, Update};
     /// let mut state = State::default();
-    /// let mut update = Update::all(7, [Place::new("10.0.0.1:7000", "dc-1")]);
-    /// assert!(matches!(state.take(&update), Taken::Changed { added: 1, .. }));
-    /// assert_eq!(state.take(&update), Taken::Known);
+    /// let mut update = Update::full(7, [Endpoint::new("10.0.0.1:7000", "dc-1")]);
+    /// assert!(matches!(state.apply(&update), ApplyResult::Changed { added: 1, .. }));
+    /// assert_eq!(state.apply(&update), ApplyResult::Known);
     /// update.since = 9;
     /// update.next = 10;
-    /// assert_eq!(state.take(&update), Taken::Gap);
+    /// assert_eq!(state.apply(&update), ApplyResult::Gap);
     /// ```
-    pub fn take(&mut self, update: &Update) -> Taken {
+    pub fn apply(&mut self, update: &Update) -> ApplyResult {
         if update.next <= self.next {
-            return Taken::Known;
+            return ApplyResult::Known;
         }
         if update.since > self.next {
-            return Taken::Gap;
+            return ApplyResult::Gap;
         }
         self.next = update.next;
         let removed: Vec<Name> = if update.since == 0 {
@@ -136,7 +136,7 @@
                 .collect()
         };
         let mut added = 0;
-        for Place {
+        for Endpoint {
             address,
             data_centre,
         } in &update.present
@@ -147,14 +147,14 @@
         for address in &removed {
             self.places.remove(address);
         }
-        Taken::Changed { added, removed }
+        ApplyResult::Changed { added, removed }
     }
 }
 
 impl Update {
     /// All places, before the offset `next`.
     #[must_use]
-    pub fn all(next: u64, places: impl IntoIterator<Item = Place>) -> Self {
+    pub fn full(next: u64, places: impl IntoIterator<Item = Endpoint>) -> Self {
         Self {
             since: 0,
             next,
@@ -166,14 +166,14 @@
 
 /// Gathers records into one update.
 #[derive(Clone, Debug, Default)]
-pub struct Gathering {
+pub struct UpdateBuilder {
     since: Option<u64>,
     next: u64,
     /// The data centre that the last record of an address tells of; none if it drops the address.
     addresses: BTreeMap<Name, Option<Name>>,
 }
 
-impl Gathering {
+impl UpdateBuilder {
     /// Adds the record at `offset`: an address, and its data centre unless the address is dropped.
     pub fn add(&mut self, offset: u64, address: Name, data_centre: Option<Name>) {
         self.since.get_or_insert(offset);
@@ -190,7 +190,7 @@
         };
         for (address, data_centre) in std::mem::take(&mut self.addresses) {
             match data_centre {
-                Some(data_centre) => update.present.push(Place::new(address, data_centre)),
+                Some(data_centre) => update.present.push(Endpoint::new(address, data_centre)),
                 None => update.gone.push(address),
             }
         }
--- a/crates/cassiarock-transient/src/host/entries.rs
+++ b/crates/cassiarock-transient/src/host/entries.rs
@@ -2,7 +2,7 @@
 
 use super::owner::Owner;
 use super::{Action, Host, millis};
-use crate::message::{Attempt, Ending, Message};
+use crate::message::{Attempt, AttemptResult, Message};
 use crate::timing::BEAT;
 use cassiarock_id::Process;
 use std::time::Duration;
@@ -19,8 +19,8 @@
         let owner = self.owners.entry(entry.clone()).or_default();
         owner.link();
         let mut held: Vec<Attempt> = self.runs.of(entry).collect();
-        held.extend(owner.kept.iter().map(|(_, ending)| ending.attempt));
-        let kept: Vec<Ending> = owner.kept.iter().map(|(_, ending)| *ending).collect();
+        held.extend(owner.kept.iter().map(|(_, result)| result.attempt));
+        let kept: Vec<AttemptResult> = owner.kept.iter().map(|(_, result)| *result).collect();
         let upstream = self.upstream_for(entry);
         let mut actions = vec![
             Action::Send(entry.clone(), Message::Upstream(upstream)),
@@ -35,7 +35,12 @@
     }
 
     /// A message of an entry; those that are not for an agent's host are left out.
-    pub fn message(&mut self, entry: &Process, message: Message, now: Duration) -> Vec<Action> {
+    pub fn handle_message(
+        &mut self,
+        entry: &Process,
+        message: Message,
+        now: Duration,
+    ) -> Vec<Action> {
         match message {
             Message::Orders {
                 serial,
@@ -44,14 +49,14 @@
                 ask,
             } => {
                 let echo = Duration::from_millis(echo);
-                let mut actions = self.order(entry, serial, echo, orders, now);
+                let mut actions = self.handle_orders(entry, serial, echo, orders, now);
                 self.ask(entry, ask, now);
                 self.offer(now, &mut actions);
                 actions
             }
-            Message::Halt(attempts) => self.halt(entry, &attempts, now),
-            Message::EntryBeat { echo, ask, .. } => {
-                self.heard(entry, Duration::from_millis(echo));
+            Message::Halt(attempts) => self.handle_halt(entry, &attempts, now),
+            Message::EntryHeartbeat { echo, ask, .. } => {
+                self.record_echo(entry, Duration::from_millis(echo));
                 self.ask(entry, ask, now);
                 let mut actions = Vec::new();
                 self.offer(now, &mut actions);
@@ -70,7 +75,7 @@
 
     /// The link to `entry` is to be closed, or is to be kept after all: the entry places
     /// nothing here meanwhile.
-    pub fn retire(&mut self, entry: &Process, is_retired: bool) -> Vec<Action> {
+    pub fn set_retired(&mut self, entry: &Process, is_retired: bool) -> Vec<Action> {
         let Some(owner) = self.owners.get_mut(entry) else {
             return Vec::new();
         };
@@ -86,7 +91,7 @@
     }
 
     /// An entry's heartbeat.
-    pub fn heard(&mut self, entry: &Process, echo: Duration) {
+    pub fn record_echo(&mut self, entry: &Process, echo: Duration) {
         if let Some(owner) = self.owners.get_mut(entry) {
             owner.heard(echo);
         }
@@ -147,7 +152,7 @@
     }
 
     pub(super) fn beat_for(&self, entry: &Process, now: Duration) -> Action {
-        let message = Message::AgentBeat {
+        let message = Message::AgentHeartbeat {
             clock: millis(now),
             load: self.load(entry, now),
         };
--- a/crates/cassiarock-transient/src/host/health.rs
+++ b/crates/cassiarock-transient/src/host/health.rs
@@ -1,6 +1,6 @@
 //! How an upstream does, by the ends of its latest tasks.
 
-use crate::message::End;
+use crate::message::Outcome;
 use cassiarock_id::Name;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -38,14 +38,14 @@
     pub(super) fn end(
         &mut self,
         job: &Name,
-        end: End,
+        end: Outcome,
         ran: Duration,
         expected: Duration,
         now: Duration,
     ) {
         let failed = match end {
-            End::Done => false,
-            End::Failed => true,
+            Outcome::Done => false,
+            Outcome::Failed => true,
             _ => return,
         };
         while self
--- a/crates/cassiarock-transient/src/host/lives.rs
+++ b/crates/cassiarock-transient/src/host/incarnations.rs
@@ -5,8 +5,8 @@
 use super::run::{Run, Snapshot, Task};
 use super::worker::Worker;
 use super::{Action, Host};
-use crate::message::End;
-use crate::{Decision, Life};
+use crate::message::Outcome;
+use crate::{Decision, Incarnation};
 use std::time::Duration;
 
 /// What a fence rises by that the upstream has turned away as too low, in milliseconds: an hour, as
@@ -29,13 +29,13 @@
 impl Host {
     /// The upstream reports. A report of a life that has been followed by another is old news
     /// that a broken network had held up.
-    pub fn report(&mut self, worker: Worker, now: Duration) -> Vec<Action> {
+    pub fn handle_report(&mut self, worker: Worker, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         match self.classify(&worker) {
             Verdict::Same => self.update(worker, now, &mut actions),
-            Verdict::Outdated(reason) => actions.push(ignored(&worker.life(), reason)),
+            Verdict::Outdated(reason) => actions.push(ignored(&worker.incarnation(), reason)),
             Verdict::Doubtful => {
-                actions.push(ignored(&worker.life(), "an earlier start"));
+                actions.push(ignored(&worker.incarnation(), "an earlier start"));
                 actions.push(Action::Poll);
             }
             Verdict::New => self.begin(worker, "a new upstream", now, &mut actions),
@@ -47,8 +47,8 @@
         let Some(known) = &self.worker else {
             return Verdict::New;
         };
-        let (life, present) = (worker.life(), known.life());
-        if !present.is_other(&life) {
+        let (incarnation, present) = (worker.incarnation(), known.incarnation());
+        if !present.differs_from(&incarnation) {
             let is_older = worker.sequence < known.sequence;
             return if is_older {
                 Verdict::Outdated("an earlier report")
@@ -60,10 +60,10 @@
         if known.is_gone {
             return Verdict::New;
         }
-        if known.was.contains(&life) {
+        if known.previous_incarnations.contains(&incarnation) {
             return Verdict::Outdated("an earlier life");
         }
-        if life.is_before(&present) {
+        if incarnation.started_before(&present) {
             return Verdict::Doubtful;
         }
         Verdict::New
@@ -97,14 +97,15 @@
         } else {
             Vec::new()
         };
-        self.lose_all(End::Crashed, "the upstream restarted", now, actions);
+        self.lose_all(Outcome::Crashed, "the upstream restarted", now, actions);
         self.lease = Lease::new(worker.clock, now);
-        if let Some(born) = worker.born {
-            self.fence = born.max(self.fence + 1);
+        if let Some(started_at) = worker.started_at {
+            self.fence = started_at.max(self.fence + 1);
         }
-        let mut was = known.as_ref().map(Worker::lives).unwrap_or_default();
-        was.retain(|life| *life != worker.life());
-        self.worker = Some(worker.after(was));
+        let mut previous_incarnations =
+            known.as_ref().map(Worker::incarnations).unwrap_or_default();
+        previous_incarnations.retain(|incarnation| *incarnation != worker.incarnation());
+        self.worker = Some(worker.after(previous_incarnations));
         self.since = now;
         self.seen = 0;
         self.is_known = false;
@@ -135,16 +136,16 @@
         let Some(known) = self.worker.as_ref().filter(|known| !known.is_gone) else {
             return false;
         };
-        if !known.life().is_other(&snapshot.life) {
-            self.learn_born(snapshot.life.born);
+        if !known.incarnation().differs_from(&snapshot.incarnation) {
+            self.learn_start_time(snapshot.incarnation.started_at);
             return true;
         }
-        if known.id != snapshot.life.id || snapshot.asked < self.since {
-            actions.push(ignored(&snapshot.life, "an answer of another life"));
+        if known.id != snapshot.incarnation.id || snapshot.asked < self.since {
+            actions.push(ignored(&snapshot.incarnation, "an answer of another life"));
             return false;
         }
         let worker = Worker {
-            born: snapshot.life.born,
+            started_at: snapshot.incarnation.started_at,
             clock: snapshot.clock,
             sequence: 0,
             is_leaving: false,
@@ -156,18 +157,18 @@
         false
     }
 
-    fn learn_born(&mut self, born: Option<u64>) {
-        let (Some(worker), Some(born)) = (&mut self.worker, born) else {
+    fn learn_start_time(&mut self, started_at: Option<u64>) {
+        let (Some(worker), Some(started_at)) = (&mut self.worker, started_at) else {
             return;
         };
-        worker.born = Some(born);
-        self.fence = self.fence.max(born);
+        worker.started_at = Some(started_at);
+        self.fence = self.fence.max(started_at);
     }
 
     /// Whether an answer to an order of `life` is of the present life.
-    pub(super) fn is_of(&self, life: &Life) -> bool {
+    pub(super) fn is_of(&self, incarnation: &Incarnation) -> bool {
         let worker = self.worker.as_ref();
-        worker.is_some_and(|worker| !worker.life().is_other(life))
+        worker.is_some_and(|worker| !worker.incarnation().differs_from(incarnation))
     }
 
     /// The upstream says that it has ended. One that tells when it started may have started
@@ -175,31 +176,37 @@
     pub fn deregister(&mut self, id: &str, now: Duration) -> Vec<Action> {
         let known = self.worker.as_ref().filter(|worker| &*worker.id == id);
         match known {
-            Some(worker) if worker.born.is_some() && !worker.is_leaving => {
-                vec![ignored(&worker.life(), "an end without notice")]
+            Some(worker) if worker.started_at.is_some() && !worker.is_leaving => {
+                vec![ignored(&worker.incarnation(), "an end without notice")]
             }
             Some(worker) => {
-                let life = worker.life();
-                self.gone(&life, End::Lost, "the upstream ended", now)
+                let incarnation = worker.incarnation();
+                self.gone(&incarnation, Outcome::Lost, "the upstream ended", now)
             }
             None => Vec::new(),
         }
     }
 
     /// Another life answers at the upstream's address.
-    pub fn replaced(&mut self, life: &Life, now: Duration) -> Vec<Action> {
+    pub fn handle_replacement(&mut self, incarnation: &Incarnation, now: Duration) -> Vec<Action> {
         self.gone(
-            life,
-            End::Crashed,
+            incarnation,
+            Outcome::Crashed,
             "another life of the upstream answers",
             now,
         )
     }
 
     /// The upstream is gone.
-    fn gone(&mut self, life: &Life, end: End, reason: &'static str, now: Duration) -> Vec<Action> {
+    fn gone(
+        &mut self,
+        incarnation: &Incarnation,
+        end: Outcome,
+        reason: &'static str,
+        now: Duration,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.is_of(life) {
+        if !self.is_of(incarnation) {
             return actions;
         }
         self.lose_all(end, reason, now, &mut actions);
@@ -220,24 +227,24 @@
 
     /// The upstream turned away the fence: it has seen a higher one, from an agent that knew a
     /// life of it with a later start.
-    pub fn fenced(&mut self, life: &Life) -> Vec<Action> {
-        if !self.is_of(life) {
+    pub fn raise_fence(&mut self, incarnation: &Incarnation) -> Vec<Action> {
+        if !self.is_of(incarnation) {
             return Vec::new();
         }
         let step = self.fence_step.max(FENCE_STEP);
         self.fence = self.fence.saturating_add(step);
         self.fence_step = step.saturating_mul(2);
         let told = Decision::new("fence raised", "", "")
-            .with("upstream", life)
+            .with("upstream", incarnation)
             .with("fence", self.fence);
-        vec![Action::Tell(told.failed())]
+        vec![Action::Log(told.failed())]
     }
 }
 
-fn ignored(life: &Life, reason: &'static str) -> Action {
-    Action::Tell(
+fn ignored(incarnation: &Incarnation, reason: &'static str) -> Action {
+    Action::Log(
         Decision::new("report ignored", "", "")
-            .with("upstream", life)
+            .with("upstream", incarnation)
             .with("reason", reason),
     )
 }
--- a/crates/cassiarock-transient/src/host/mod.rs
+++ b/crates/cassiarock-transient/src/host/mod.rs
@@ -2,8 +2,8 @@
 
 mod entries;
 mod health;
+mod incarnations;
 mod lease;
-mod lives;
 mod offer;
 mod orders;
 mod owner;
@@ -12,8 +12,8 @@
 mod upstream;
 mod worker;
 
-pub use run::{Answer, Named, Run, Snapshot, Task};
-pub use snapshots::pause;
+pub use run::{AttemptKey, Run, Snapshot, StartResponse, Task};
+pub use snapshots::poll_backoff;
 pub use worker::Worker;
 
 use crate::Decision;
@@ -33,7 +33,7 @@
 pub enum Action {
     /// Send a message to an entry.
     Send(Process, Message),
-    /// Order the upstream to start a task; answer with [`Host::started`].
+    /// Order the upstream to start a task; answer with [`Host::handle_start_response`].
     Start {
         /// The task and its attempt.
         task: Task,
@@ -47,7 +47,7 @@
     /// Poll the upstream at once, beside the poll that waits.
     Poll,
     /// A line for the log.
-    Tell(Decision),
+    Log(Decision),
 }
 
 /// What an agent knows of its upstream and of the tasks on it.
@@ -101,14 +101,14 @@
 
     /// How many attempts are on the upstream.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn attempt_count(&self) -> usize {
         self.runs.len()
     }
 
     /// The number of the last end taken, for the next poll. None counts while the upstream does
     /// not answer: if it starts again under its id, it numbers its ends anew.
     #[must_use]
-    pub fn seen(&self, now: Duration) -> u64 {
+    pub fn last_seen_end(&self, now: Duration) -> u64 {
         if self.lease.is_silent(now) {
             0
         } else {
@@ -135,7 +135,7 @@
 
     /// When [`Self::poll`] has to be called next.
     #[must_use]
-    pub fn wake(&self, now: Duration) -> Duration {
+    pub fn next_poll(&self, now: Duration) -> Duration {
         let linked = self.owners.values().filter(|owner| owner.is_linked);
         let next = linked.map(|owner| owner.told + BEAT).min();
         let next = next.unwrap_or(now + BEAT);
--- a/crates/cassiarock-transient/src/host/offer.rs
+++ b/crates/cassiarock-transient/src/host/offer.rs
@@ -6,7 +6,7 @@
 //! becomes free for the most urgent ask, and for the next one if that entry passes.
 
 use super::{Action, Host};
-use crate::message::Ask;
+use crate::message::CapacityRequest;
 use crate::{Decision, Demand};
 use cassiarock_id::Process;
 use std::time::Duration;
@@ -36,14 +36,14 @@
 /// What an entry asks for, and since when.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Asked {
-    ask: Ask,
+    ask: CapacityRequest,
     at: Duration,
 }
 
 impl Asked {
     /// The least goes first, in the order in which each entry ranks its own jobs.
     fn rank(&self) -> (bool, bool, bool, u32, Duration) {
-        let Ask {
+        let CapacityRequest {
             is_late,
             is_unstarted,
             has_waited,
@@ -60,7 +60,7 @@
 
     /// The part of `free` that it can use.
     fn room(&self, free: &Demand) -> Demand {
-        let Ask { demand, tasks, .. } = self.ask;
+        let CapacityRequest { demand, tasks, .. } = self.ask;
         let tasks = free.holds(&demand).min(u64::from(tasks));
         (0..tasks).fold(Demand::default(), |room, _| room.plus(&demand))
     }
@@ -68,7 +68,7 @@
 
 impl Host {
     /// What `entry` waits for now; nothing if it passes. An offer to it is answered by that.
-    pub(super) fn ask(&mut self, entry: &Process, ask: Option<Ask>, now: Duration) {
+    pub(super) fn ask(&mut self, entry: &Process, ask: Option<CapacityRequest>, now: Duration) {
         if let Some(owner) = self.owners.get_mut(entry) {
             owner.asked = ask.map(|ask| Asked { ask, at: now });
         }
@@ -121,7 +121,7 @@
             // It has not answered: what it asked for counts no more until it asks again.
             Some(offer) => {
                 let told = Decision::new("offer lapsed", "", "").with("to", &offer.to);
-                actions.push(Action::Tell(told));
+                actions.push(Action::Log(told));
                 if let Some(owner) = self.owners.get_mut(&offer.to) {
                     owner.asked = None;
                 }
@@ -144,7 +144,7 @@
             .with("ask_age_ms", now.saturating_sub(asked.at).as_millis())
             .with("free_cpu", free.cpu)
             .with("held_cpu", room.cpu);
-        actions.push(Action::Tell(told));
+        actions.push(Action::Log(told));
         self.offer = Some(Offer {
             to: to.clone(),
             until: now + HOLD,
--- a/crates/cassiarock-transient/src/host/orders.rs
+++ b/crates/cassiarock-transient/src/host/orders.rs
@@ -1,11 +1,11 @@
 //! Starting and stopping tasks.
 
 use super::owner::Owner;
-use super::run::{Answer, Phase, Run, Task};
+use super::run::{Phase, Run, StartResponse, Task};
 use super::{Action, Host};
-use crate::message::{Attempt, End, Ending, Order, Start};
+use crate::message::{Attempt, AttemptResult, Order, Outcome, Start};
 use crate::timing::CONTACT;
-use crate::{Decision, Life};
+use crate::{Decision, Incarnation};
 use cassiarock_id::Process;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     ///
     /// An order that waited in a socket while this process was frozen is worthless: its entry
     /// may have started the tasks elsewhere. The echo shows it, whatever delayed the order.
-    pub fn order(
+    pub fn handle_orders(
         &mut self,
         entry: &Process,
         serial: u64,
@@ -31,14 +31,14 @@
         owner.heard(echo);
         owner.serial = serial;
         let age = now.saturating_sub(echo);
-        let mut endings = Vec::new();
+        let mut results = Vec::new();
         for order in orders {
             let turned = self.take(entry, &order, age, now, &mut actions);
-            actions.push(Action::Tell(self.taken(&order, &turned, age)));
-            endings.extend(turned);
+            actions.push(Action::Log(self.taken(&order, &turned, age)));
+            results.extend(turned);
         }
-        if !endings.is_empty() {
-            self.end_all(entry, endings, now, &mut actions);
+        if !results.is_empty() {
+            self.end_all(entry, results, now, &mut actions);
         }
         actions
     }
@@ -51,7 +51,7 @@
         age: Duration,
         now: Duration,
         actions: &mut Vec<Action>,
-    ) -> Vec<Ending> {
+    ) -> Vec<AttemptResult> {
         let mut turned = Vec::new();
         for start in &order.tasks {
             let task = Task {
@@ -73,7 +73,7 @@
         turned
     }
 
-    fn taken(&self, order: &Order, turned: &[Ending], age: Duration) -> Decision {
+    fn taken(&self, order: &Order, turned: &[AttemptResult], age: Duration) -> Decision {
         let told = Decision::new("order", order.request.clone(), order.job.clone())
             .with("tasks", order.tasks.len())
             .with("turned_away", turned.len())
@@ -81,7 +81,7 @@
             .with("free_cpu", self.free().cpu)
             .with("running", self.runs.len());
         match turned.first() {
-            Some(ending) => told.with("reason", format_args!("{:?}", ending.end)),
+            Some(result) => told.with("reason", format_args!("{:?}", result.outcome)),
             None => told,
         }
     }
@@ -95,32 +95,37 @@
         age: Duration,
         now: Duration,
         actions: &mut Vec<Action>,
-    ) -> Option<End> {
+    ) -> Option<Outcome> {
         if age >= CONTACT {
-            return Some(End::Stale);
+            return Some(Outcome::Stale);
         }
         let Some(worker) = &self.worker else {
-            return Some(End::Closed);
+            return Some(Outcome::Closed);
         };
         let is_shut = self.is_closed() || worker.is_leaving || !worker.is_present();
         if is_shut || !self.is_known || self.lease.is_silent(now) {
-            return Some(End::Closed);
+            return Some(Outcome::Closed);
         }
         // The caller submitted the job again while an earlier submission's task is here: that
         // one has to end first, or the task would run twice at once.
         if let Some(earlier) = self.runs.same(task) {
             self.stop(&earlier, "its job was submitted again", now, actions);
-            return Some(End::Busy);
+            return Some(Outcome::Busy);
         }
         let suspect = start.suspect.as_ref();
         if suspect.is_some_and(|suspect| self.runs.has_suspect(suspect)) {
-            return Some(End::Refused);
+            return Some(Outcome::Refused);
         }
-        (!start.demand.fits(&self.free_for(entry, now))).then_some(End::Full)
+        (!start.demand.fits(&self.free_for(entry, now))).then_some(Outcome::Full)
     }
 
     /// An entry no longer wants these.
-    pub fn halt(&mut self, entry: &Process, attempts: &[Attempt], now: Duration) -> Vec<Action> {
+    pub fn handle_halt(
+        &mut self,
+        entry: &Process,
+        attempts: &[Attempt],
+        now: Duration,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         for attempt in attempts {
             if let Some(task) = self.runs.find(entry, attempt) {
@@ -131,16 +136,16 @@
     }
 
     /// The answer of a life of the upstream to a start.
-    pub fn started(
+    pub fn handle_start_response(
         &mut self,
-        life: &Life,
+        incarnation: &Incarnation,
         task: &Task,
-        answer: Answer,
+        answer: StartResponse,
         clock: Option<u64>,
         now: Duration,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.is_of(life) {
+        if !self.is_of(incarnation) {
             return actions;
         }
         self.lease.hear(clock, now);
@@ -148,20 +153,20 @@
             return actions;
         };
         let end = match answer {
-            Answer::Started => {
+            StartResponse::Started => {
                 if matches!(run.phase, Phase::Starting) {
                     run.phase = Phase::Running;
                 }
                 return actions;
             }
             // It may be carried out yet, up to its time limit; the stop forbids that.
-            Answer::Silent => {
+            StartResponse::NoResponse => {
                 self.stop(task, "the start was not answered", now, &mut actions);
                 return actions;
             }
-            Answer::Full => End::Full,
-            Answer::Passed => End::Passed,
-            Answer::Refused => End::Refused,
+            StartResponse::Full => Outcome::Full,
+            StartResponse::Superseded => Outcome::Passed,
+            StartResponse::Refused => Outcome::Refused,
         };
         self.end(task, end, now, &mut actions);
         actions
@@ -185,20 +190,20 @@
             .with("task", task)
             .with("reason", reason)
             .with("ran_ms", now.saturating_sub(run.since).as_millis());
-        actions.push(Action::Tell(told));
+        actions.push(Action::Log(told));
         actions.push(Action::Stop(task.clone()));
     }
 
     /// A life of the upstream confirmed a stop: the attempt has ended or can never start. If it was
     /// never seen to run, a poll at once tells which, and its entry need not wait.
-    pub fn stopped(
+    pub fn handle_stop_response(
         &mut self,
-        life: &Life,
+        incarnation: &Incarnation,
         task: &Task,
         clock: Option<u64>,
         now: Duration,
     ) -> Vec<Action> {
-        if !self.is_of(life) {
+        if !self.is_of(incarnation) {
             return Vec::new();
         }
         self.lease.hear(clock, now);
@@ -241,10 +246,10 @@
     }
 }
 
-const fn unrun(attempt: Attempt, end: End) -> Ending {
-    Ending {
+const fn unrun(attempt: Attempt, end: Outcome) -> AttemptResult {
+    AttemptResult {
         attempt,
-        end,
+        outcome: end,
         ran: Duration::ZERO,
     }
 }
--- a/crates/cassiarock-transient/src/host/owner.rs
+++ b/crates/cassiarock-transient/src/host/owner.rs
@@ -1,7 +1,7 @@
 //! What an agent knows of an entry that places tasks on it.
 
 use super::offer::Asked;
-use crate::message::Ending;
+use crate::message::AttemptResult;
 use crate::timing::CONTACT;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     /// When it was last told of the room.
     pub(super) told: Duration,
     /// Ends that it may not have heard of, each with the time until which it is kept.
-    pub(super) kept: VecDeque<(Duration, Ending)>,
+    pub(super) kept: VecDeque<(Duration, AttemptResult)>,
 }
 
 impl Owner {
@@ -36,8 +36,8 @@
         self.echo = self.echo.max(echo);
     }
 
-    pub(super) fn keep(&mut self, endings: &[Ending], now: Duration, keep: Duration) {
-        let kept = endings.iter().map(|ending| (now + keep, *ending));
+    pub(super) fn keep(&mut self, results: &[AttemptResult], now: Duration, keep: Duration) {
+        let kept = results.iter().map(|result| (now + keep, *result));
         self.kept.extend(kept);
     }
 
--- a/crates/cassiarock-transient/src/host/run.rs
+++ b/crates/cassiarock-transient/src/host/run.rs
@@ -1,7 +1,7 @@
 //! The attempts on one upstream.
 
-use crate::message::{Attempt, End, Start};
-use crate::{Demand, Life};
+use crate::message::{Attempt, Outcome, Start};
+use crate::{Demand, Incarnation};
 use cassiarock_id::{Name, Process};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -19,7 +19,7 @@
 impl Task {
     /// A task that only the upstream knows.
     #[must_use]
-    pub fn named(job: &Name, named: &Named) -> Self {
+    pub fn from_key(job: &Name, named: &AttemptKey) -> Self {
         let attempt = Attempt {
             number: 0,
             stage: named.stage,
@@ -47,7 +47,7 @@
 
 /// An attempt as the upstream names it, within its job.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Named {
+pub struct AttemptKey {
     /// The stage.
     pub stage: u32,
     /// The task within its stage.
@@ -56,10 +56,10 @@
     pub attempt: u32,
 }
 
-impl Named {
+impl AttemptKey {
     /// Whether `attempt` is this start.
     #[must_use]
-    pub const fn is_same_start(&self, attempt: &Attempt) -> bool {
+    pub const fn matches(&self, attempt: &Attempt) -> bool {
         self.stage == attempt.stage
             && self.index == attempt.index
             && self.attempt == attempt.attempt
@@ -68,32 +68,32 @@
 
 /// How the upstream answered a start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Answer {
+pub enum StartResponse {
     /// The task runs.
     Started,
     /// It does not fit.
     Full,
     /// The upstream has seen a higher attempt.
-    Passed,
+    Superseded,
     /// The upstream turned the order away; it has done nothing.
     Refused,
     /// No answer came: the order may still be carried out.
-    Silent,
+    NoResponse,
 }
 
 /// What the answer to a poll of the upstream showed.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Snapshot {
     /// The life that answered.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// The upstream's clock in milliseconds.
     pub clock: u64,
     /// When the poll was sent, by the agent's clock.
     pub asked: Duration,
     /// What runs, by job.
-    pub running: Vec<(Name, Named)>,
+    pub running: Vec<(Name, AttemptKey)>,
     /// What has ended: the end's number, the job, the attempt and how it ended.
-    pub ended: Vec<(u64, Name, Named, End)>,
+    pub ended: Vec<(u64, Name, AttemptKey, Outcome)>,
 }
 
 /// Where an attempt stands.
@@ -246,11 +246,10 @@
     }
 
     /// The attempt that the upstream names so.
-    pub(super) fn named(&self, job: &Name, named: &Named) -> Option<Task> {
+    pub(super) fn find_by_key(&self, job: &Name, named: &AttemptKey) -> Option<Task> {
         let tasks = self.runs.keys();
         let mut same = tasks.filter(|task| task.job == *job);
-        same.find(|task| named.is_same_start(&task.attempt))
-            .cloned()
+        same.find(|task| named.matches(&task.attempt)).cloned()
     }
 
     /// Another attempt at the same task, of whatever entry.
--- a/crates/cassiarock-transient/src/host/snapshots.rs
+++ b/crates/cassiarock-transient/src/host/snapshots.rs
@@ -3,7 +3,7 @@
 use super::run::{Phase, Snapshot, Task};
 use super::{Action, Host, millis};
 use crate::Decision;
-use crate::message::{End, Ending, Message};
+use crate::message::{AttemptResult, Message, Outcome};
 use cassiarock_id::Process;
 use std::time::Duration;
 
@@ -33,12 +33,12 @@
 /// takes a connection.
 ///
 /// ```
-/// use cassiarock_transient::host::pause;
-/// assert_eq!(pause(3), pause(1) * 4);
-/// assert_eq!(pause(9), pause(100));
+/// use cassiarock_transient::host::poll_backoff;
+/// assert_eq!(poll_backoff(3), poll_backoff(1) * 4);
+/// assert_eq!(poll_backoff(9), poll_backoff(100));
 /// ```
 #[must_use]
-pub fn pause(failures: u32) -> Duration {
+pub fn poll_backoff(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(u32::BITS - 1);
     PAUSE.saturating_mul(1 << doublings).min(LONGEST_PAUSE)
 }
@@ -49,7 +49,7 @@
     /// The load that this answers is that of polls of upstreams that run nothing, most of those of
     /// a system with room.
     #[must_use]
-    pub fn wait(&self) -> Duration {
+    pub fn poll_wait(&self) -> Duration {
         if self.is_known && self.runs.is_empty() {
             IDLE_WAIT
         } else {
@@ -59,12 +59,12 @@
 
     /// Until when the next poll renews all leases, on the upstream's clock; not at all while
     /// the upstream does not answer, so that the leases are known to lapse.
-    pub fn renew(&mut self, now: Duration) -> Option<u64> {
+    pub fn renew_leases(&mut self, now: Duration) -> Option<u64> {
         (!self.lease.is_silent(now)).then(|| self.lease.renew(now))
     }
 
     /// What the answer to a poll of the upstream showed.
-    pub fn observe(&mut self, snapshot: &Snapshot, now: Duration) -> Vec<Action> {
+    pub fn handle_snapshot(&mut self, snapshot: &Snapshot, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.accept(snapshot, now, &mut actions) {
             return actions;
@@ -75,7 +75,7 @@
                 continue;
             }
             self.seen = *number;
-            if let Some(task) = self.runs.named(job, attempt) {
+            if let Some(task) = self.runs.find_by_key(job, attempt) {
                 self.end(&task, *end, now, &mut actions);
             }
         }
@@ -96,7 +96,7 @@
         actions: &mut Vec<Action>,
     ) {
         for (job, attempt) in &snapshot.running {
-            match self.runs.named(job, attempt) {
+            match self.runs.find_by_key(job, attempt) {
                 Some(task) => {
                     if let Some(run) = self.runs.get_mut(&task) {
                         run.listed = true;
@@ -106,12 +106,12 @@
                     }
                 }
                 None => {
-                    let task = Task::named(job, attempt);
+                    let task = Task::from_key(job, attempt);
                     let told = Decision::new("stop", "", job.clone())
                         .with("task", &task)
                         .with("reason", "it runs unasked")
                         .failed();
-                    actions.push(Action::Tell(told));
+                    actions.push(Action::Log(told));
                     actions.push(Action::Stop(task));
                 }
             }
@@ -126,26 +126,27 @@
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let void: Vec<Task> =
-            self.runs
-                .iter()
-                .filter(|(task, run)| {
-                    let is_void = run.void().is_some_and(|at| at <= snapshot.asked);
-                    let is_listed = snapshot.running.iter().any(|(job, attempt)| {
-                        *job == task.job && attempt.is_same_start(&task.attempt)
-                    });
-                    is_void && !is_listed
-                })
-                .map(|(task, _)| task.clone())
-                .collect();
+        let void: Vec<Task> = self
+            .runs
+            .iter()
+            .filter(|(task, run)| {
+                let is_void = run.void().is_some_and(|at| at <= snapshot.asked);
+                let is_listed = snapshot
+                    .running
+                    .iter()
+                    .any(|(job, attempt)| *job == task.job && attempt.matches(&task.attempt));
+                is_void && !is_listed
+            })
+            .map(|(task, _)| task.clone())
+            .collect();
         for task in void {
             let Some(run) = self.runs.get(&task) else {
                 continue;
             };
             let end = match (run.in_flight, run.listed) {
-                (Some(_), _) => End::Lost,
-                (None, false) => End::Refused,
-                (None, true) => End::Stopped,
+                (Some(_), _) => Outcome::Lost,
+                (None, false) => Outcome::Refused,
+                (None, true) => Outcome::Stopped,
             };
             self.end(&task, end, now, actions);
         }
@@ -157,10 +158,21 @@
         if self.runs.is_empty() || !self.lease.has_lapsed(now) {
             return;
         }
-        self.lose_all(End::Crashed, "the upstream does not answer", now, actions);
+        self.lose_all(
+            Outcome::Crashed,
+            "the upstream does not answer",
+            now,
+            actions,
+        );
     }
 
-    pub(super) fn end(&mut self, task: &Task, end: End, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn end(
+        &mut self,
+        task: &Task,
+        end: Outcome,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(run) = self.runs.remove(task) else {
             return;
         };
@@ -168,31 +180,31 @@
         // A start that its upstream left unanswered or a stop that was ordered say nothing of
         // the upstream's health, a failure does.
         self.health.end(&task.job, end, ran, run.expected, now);
-        if !matches!(end, End::Done) {
+        if !matches!(end, Outcome::Done) {
             let told = Decision::new("ended", run.request.clone(), task.job.clone())
                 .with("task", task)
                 .with("end", format_args!("{end:?}"))
                 .with("ran_ms", ran.as_millis())
                 .with("expected_ms", run.expected.as_millis());
-            actions.push(Action::Tell(told));
+            actions.push(Action::Log(told));
         }
-        let ending = Ending {
+        let result = AttemptResult {
             attempt: task.attempt,
-            end,
+            outcome: end,
             ran,
         };
-        self.end_all(&run.owner, vec![ending], now, actions);
+        self.end_all(&run.owner, vec![result], now, actions);
     }
 
     pub(super) fn end_all(
         &mut self,
         entry: &Process,
-        endings: Vec<Ending>,
+        results: Vec<AttemptResult>,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
         let owner = self.owners.entry(entry.clone()).or_default();
-        owner.keep(&endings, now, KEEP);
+        owner.keep(&results, now, KEEP);
         if !owner.is_linked {
             return;
         }
@@ -201,18 +213,18 @@
         if let Some(Action::Send(
             to,
             Message::Ended {
-                endings: more,
+                results: more,
                 load,
                 ..
             },
         )) = actions.last_mut()
             && to == entry
         {
-            more.extend(endings);
+            more.extend(results);
             *load = self.load(entry, now);
             return;
         }
-        let frees_room = endings.iter().any(|ending| !ending.end.is_unrun());
+        let frees_room = results.iter().any(|result| !result.outcome.is_unstarted());
         if frees_room {
             match self.hold(now, actions) {
                 Some(other) if other != *entry => self.beat(&other, now, actions),
@@ -221,14 +233,19 @@
                 None => {}
             }
         }
-        let message = self.ended(entry, endings, now);
+        let message = self.ended(entry, results, now);
         actions.push(Action::Send(entry.clone(), message));
     }
 
-    pub(super) fn ended(&self, entry: &Process, endings: Vec<Ending>, now: Duration) -> Message {
+    pub(super) fn ended(
+        &self,
+        entry: &Process,
+        results: Vec<AttemptResult>,
+        now: Duration,
+    ) -> Message {
         Message::Ended {
             clock: millis(now),
-            endings,
+            results,
             load: self.load(entry, now),
         }
     }
--- a/crates/cassiarock-transient/src/host/upstream.rs
+++ b/crates/cassiarock-transient/src/host/upstream.rs
@@ -2,7 +2,7 @@
 
 use super::run::{Run, Task};
 use super::{Action, Host};
-use crate::message::{End, Load, Message, Upstream};
+use crate::message::{Load, Message, Outcome, Upstream};
 use crate::{Decision, Demand};
 use cassiarock_id::Process;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     /// the store and from the others, or whose orders were on their way: it is told that the
     /// upstream takes no new work, and what it has ordered is turned away and placed elsewhere.
     /// What runs may end.
-    pub fn evacuate(&mut self, is_evacuated: bool) -> Vec<Action> {
+    pub fn set_evacuated(&mut self, is_evacuated: bool) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.is_evacuated == is_evacuated {
             return actions;
@@ -64,7 +64,7 @@
     /// All attempts have ended with their upstream.
     pub(super) fn lose_all(
         &mut self,
-        end: End,
+        end: Outcome,
         reason: &'static str,
         now: Duration,
         actions: &mut Vec<Action>,
@@ -75,7 +75,7 @@
                 .with("reason", reason)
                 .with("tasks", tasks.len())
                 .failed();
-            actions.push(Action::Tell(told));
+            actions.push(Action::Log(told));
         }
         for task in tasks {
             self.end(&task, end, now, actions);
@@ -87,12 +87,12 @@
         let mut told = Decision::new("upstream", "", "").with("reason", reason);
         if let Some(upstream) = &upstream {
             told = told
-                .with("upstream", upstream.life())
+                .with("upstream", upstream.incarnation())
                 .with("service", &upstream.service)
                 .with("cpu", upstream.capacity.cpu)
                 .with("leaving", upstream.is_leaving);
         }
-        actions.push(Action::Tell(told));
+        actions.push(Action::Log(told));
         for (entry, owner) in &self.owners {
             if owner.is_linked {
                 let message = Message::Upstream(self.upstream_for(entry));
@@ -149,14 +149,14 @@
         let is_open = self.is_open(now);
         let entries = self.owners.values().filter(|owner| owner.is_linked).count();
         Load {
-            seen: self.owners.get(entry).map_or(0, |owner| owner.serial),
+            last_serial: self.owners.get(entry).map_or(0, |owner| owner.serial),
             free: if is_open {
                 self.free_for(entry, now)
             } else {
                 Demand::default()
             },
-            failing: self.health.failing(now),
-            pace: self.health.pace().max(self.stalled(now)),
+            failure_percent: self.health.failing(now),
+            slowdown_percent: self.health.pace().max(self.stalled(now)),
             entries: u16::try_from(entries).unwrap_or(u16::MAX),
             is_offered: is_open && self.is_offered(entry, now),
         }
--- a/crates/cassiarock-transient/src/host/worker.rs
+++ b/crates/cassiarock-transient/src/host/worker.rs
@@ -1,7 +1,7 @@
 //! The upstream as its reports describe it.
 
 use crate::message::Upstream;
-use crate::{Demand, Life};
+use crate::{Demand, Incarnation};
 use cassiarock_id::Name;
 
 /// Former lives that are remembered, so that a report that a broken network held up is not
@@ -14,7 +14,7 @@
     /// Its id.
     pub id: Name,
     /// When it started, in milliseconds since 1970, if it says so.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// The pool that it belongs to.
     pub service: Name,
     /// All its room.
@@ -33,14 +33,14 @@
     /// which does not tell its room.
     pub is_unreported: bool,
     /// Its former lives.
-    pub was: Vec<Life>,
+    pub previous_incarnations: Vec<Incarnation>,
 }
 
 impl Worker {
     pub(super) fn upstream(&self) -> Upstream {
         Upstream {
             id: self.id.clone(),
-            born: self.born,
+            started_at: self.started_at,
             service: self.service.clone(),
             capacity: self.capacity,
             labels: self.labels.clone(),
@@ -50,8 +50,8 @@
 
     /// Its life.
     #[must_use]
-    pub fn life(&self) -> Life {
-        Life::new(self.id.clone()).with_born(self.born)
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation::new(self.id.clone()).with_started_at(self.started_at)
     }
 
     /// Whether it is there and has said what it is.
@@ -60,23 +60,26 @@
     }
 
     /// This life and former ones.
-    pub(super) fn lives(&self) -> Vec<Life> {
-        let mut lives = self.was.clone();
-        lives.push(self.life());
-        let forgotten = lives.len().saturating_sub(LIVES);
-        lives.drain(..forgotten);
-        lives
+    pub(super) fn incarnations(&self) -> Vec<Incarnation> {
+        let mut incarnations = self.previous_incarnations.clone();
+        incarnations.push(self.incarnation());
+        let forgotten = incarnations.len().saturating_sub(LIVES);
+        incarnations.drain(..forgotten);
+        incarnations
     }
 
-    pub(super) fn after(self, was: Vec<Life>) -> Self {
-        Self { was, ..self }
+    pub(super) fn after(self, previous_incarnations: Vec<Incarnation>) -> Self {
+        Self {
+            previous_incarnations,
+            ..self
+        }
     }
 
     /// A later report of the life that `known` describes.
     pub(super) fn following(self, known: Self) -> Self {
         Self {
-            born: self.born.or(known.born),
-            was: known.was,
+            started_at: self.started_at.or(known.started_at),
+            previous_incarnations: known.previous_incarnations,
             ..self
         }
     }
--- a/crates/cassiarock-transient/src/life.rs
+++ b/crates/cassiarock-transient/src/incarnation.rs
@@ -9,54 +9,55 @@
 /// lives apart.
 ///
 /// ```
-/// use cassiarock_transient::Life;
-/// let first = Life::new("u-1").with_born(Some(1_000));
-/// let second = Life::new("u-1").with_born(Some(2_000));
-/// assert!(first.is_other(&second));
-/// assert!(!first.is_other(&Life::new("u-1")));
+/// use cassiarock_transient::Incarnation;
+/// let first = Incarnation::new("u-1").with_started_at(Some(1_000));
+/// let second = Incarnation::new("u-1").with_started_at(Some(2_000));
+/// assert!(first.differs_from(&second));
+/// assert!(!first.differs_from(&Incarnation::new("u-1")));
 /// assert_eq!(second.to_string(), "u-1@2000");
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Life {
+pub struct Incarnation {
     /// The upstream's id.
     pub id: Name,
     /// When it started, in milliseconds since 1970 by its own clock, if it says so.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
-impl Life {
+impl Incarnation {
     /// A life of the upstream with this id, of which no time of start is known.
     #[must_use]
     pub fn new(id: impl Into<Name>) -> Self {
         Self {
             id: id.into(),
-            born: None,
+            started_at: None,
         }
     }
 
     /// The same that started then.
     #[must_use]
-    pub fn with_born(self, born: Option<u64>) -> Self {
-        Self { born, ..self }
+    pub fn with_started_at(self, started_at: Option<u64>) -> Self {
+        Self { started_at, ..self }
     }
 
     /// Whether the two are known to be different lives.
     #[must_use]
-    pub fn is_other(&self, other: &Self) -> bool {
-        self.id != other.id || matches!((self.born, other.born), (Some(a), Some(b)) if a != b)
+    pub fn differs_from(&self, other: &Self) -> bool {
+        self.id != other.id
+            || matches!((self.started_at, other.started_at), (Some(a), Some(b)) if a != b)
     }
 
     /// Whether it started before `other`, as far as the clocks of upstreams tell.
     #[must_use]
-    pub fn is_before(&self, other: &Self) -> bool {
-        matches!((self.born, other.born), (Some(own), Some(other)) if own < other)
+    pub fn started_before(&self, other: &Self) -> bool {
+        matches!((self.started_at, other.started_at), (Some(own), Some(other)) if own < other)
     }
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
-            Some(born) => write!(f, "{}@{born}", self.id),
+        match self.started_at {
+            Some(started_at) => write!(f, "{}@{started_at}", self.id),
             None => write!(f, "{}", self.id),
         }
     }
--- a/crates/cassiarock-transient/src/message.rs
+++ b/crates/cassiarock-transient/src/message.rs
@@ -1,6 +1,6 @@
 //! What entries and agents tell each other about transient jobs.
 
-use crate::{Demand, Life, directory, evacuation};
+use crate::{Demand, Incarnation, directory, evacuation};
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
@@ -57,7 +57,7 @@
 /// What an entry would start next, if it had room.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct CapacityRequest {
     /// Whether it will be late in any case.
     pub is_late: bool,
     /// Whether nothing of its job is placed yet.
@@ -92,7 +92,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum End {
+pub enum Outcome {
     /// The task is done.
     Done,
     /// It ran and failed.
@@ -118,10 +118,10 @@
     Refused,
 }
 
-impl End {
+impl Outcome {
     /// Whether the attempt never ran.
     #[must_use]
-    pub const fn is_unrun(self) -> bool {
+    pub const fn is_unstarted(self) -> bool {
         !matches!(
             self,
             Self::Done | Self::Failed | Self::Stopped | Self::Lost | Self::Crashed
@@ -132,11 +132,12 @@
 /// The end of an attempt.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ending {
+pub struct AttemptResult {
     /// Which.
     pub attempt: Attempt,
     /// How.
-    pub end: End,
+    #[serde(rename = "end")]
+    pub outcome: Outcome,
     /// How long it ran.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub ran: Duration,
@@ -146,13 +147,16 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Load {
     /// The last orders of the receiving entry that are counted in.
-    pub seen: u64,
+    #[serde(rename = "seen")]
+    pub last_serial: u64,
     /// Room for new tasks; nothing if the upstream is leaving.
     pub free: Demand,
     /// The share of its latest tasks that failed, in hundredths.
-    pub failing: u8,
+    #[serde(rename = "failing")]
+    pub failure_percent: u8,
     /// How long its tasks run, in hundredths of what was expected of them.
-    pub pace: u16,
+    #[serde(rename = "pace")]
+    pub slowdown_percent: u16,
     /// How many entries place tasks on it.
     pub entries: u16,
     /// Whether room is held for the receiving entry for a moment.
@@ -167,8 +171,8 @@
     pub id: Name,
     /// When it started, in milliseconds since 1970, if it says so: an upstream that starts again
     /// may keep its id.
-    #[serde(default)]
-    pub born: Option<u64>,
+    #[serde(default, rename = "born")]
+    pub started_at: Option<u64>,
     /// The pool that it belongs to.
     pub service: Name,
     /// All its room.
@@ -182,8 +186,8 @@
 impl Upstream {
     /// Its life.
     #[must_use]
-    pub fn life(&self) -> Life {
-        Life::new(self.id.clone()).with_born(self.born)
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation::new(self.id.clone()).with_started_at(self.started_at)
     }
 }
 
@@ -200,22 +204,24 @@
         orders: Vec<Order>,
         /// What the entry waits for besides.
         #[serde(default)]
-        ask: Option<Ask>,
+        ask: Option<CapacityRequest>,
     },
     /// Entry to agent: stop these; nobody waits for them any more.
     Halt(Vec<Attempt>),
     /// Entry to agent: a heartbeat.
-    EntryBeat {
+    #[serde(rename = "EntryBeat")]
+    EntryHeartbeat {
         /// The agent's clock as last heard, in milliseconds.
         echo: u64,
         /// The version of the configuration in force at the entry.
         version: u64,
         /// What the entry waits for, if it asks this agent for room.
         #[serde(default)]
-        ask: Option<Ask>,
+        ask: Option<CapacityRequest>,
     },
     /// Agent to entry: a heartbeat.
-    AgentBeat {
+    #[serde(rename = "AgentBeat")]
+    AgentHeartbeat {
         /// The agent's clock in milliseconds.
         clock: u64,
         /// What its upstream can take.
@@ -228,7 +234,8 @@
         /// The agent's clock in milliseconds.
         clock: u64,
         /// The ends.
-        endings: Vec<Ending>,
+        #[serde(rename = "endings")]
+        results: Vec<AttemptResult>,
         /// What its upstream can take.
         load: Load,
     },
@@ -246,7 +253,7 @@
     },
     /// Entry to agent: the addresses of entries that it is linked to, whether they have been able
     /// to announce themselves or not.
-    Entries(Vec<directory::Place>),
+    Entries(Vec<directory::Endpoint>),
     /// Entry to agent: what has changed in the directory of entries.
     Directory(directory::Update),
     /// Agent to entry: send me the whole directory of entries.
--- a/crates/cassiarock-transient/src/roster.rs
+++ b/crates/cassiarock-transient/src/roster.rs
@@ -18,12 +18,12 @@
 
 /// Links of an entry to others: all are reached over few of them in turn, at any number of
 /// entries. They carry configurations and operators' orders where the store brings none.
-pub const PEERS: usize = 3;
+pub const LINKS_PER_ENTRY: usize = 3;
 
 /// Links of an agent. Up to so many entries are all linked. With four agents to an entry, as
 /// at the users' sites, an entry has 48 agents; one that has by chance half of that still has
 /// room for 200 tasks.
-pub const LINKS: usize = 12;
+pub const LINKS_PER_AGENT: usize = 12;
 
 /// Addresses that are remembered; the aim is some 600 entries.
 const ENTRIES: usize = 4_096;
@@ -48,7 +48,7 @@
 
 /// What is to be done about an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum LinkAction {
     /// Keep a link to the entry at this address.
     Dial(SocketAddr),
     /// Keep none any more.
@@ -102,20 +102,20 @@
     /// The roster of a process with this name, without entries.
     ///
     /// ```
-    /// use cassiarock_transient::roster::{Roster, Step};
+    /// use cassiarock_transient::roster::{LinkAction, Roster};
     /// use std::time::Duration;
     /// let mut roster = Roster::new("agent-1");
     /// let address = "10.0.0.1:7000".parse()?;
-    /// assert!(roster.tell(address, true));
+    /// assert!(roster.add(address, true));
     /// let steps = roster.poll(Duration::ZERO, |_| false);
-    /// assert_eq!(steps, [Step::Dial(address)]);
+    /// assert_eq!(steps, [LinkAction::Dial(address)]);
     /// # Ok::<_, std::net::AddrParseError>(())
     /// ```
     #[must_use]
     pub fn new(owner: impl Into<Name>) -> Self {
         Self {
             owner: owner.into(),
-            links: LINKS,
+            links: LINKS_PER_AGENT,
             entries: BTreeMap::new(),
             ranks: BTreeMap::new(),
             checked: None,
@@ -130,7 +130,7 @@
 
     /// An entry takes links there, in the agent's own data centre or, as far as is known, not.
     /// Answers whether that is news; not if too many are known.
-    pub fn tell(&mut self, address: SocketAddr, is_near: bool) -> bool {
+    pub fn add(&mut self, address: SocketAddr, is_near: bool) -> bool {
         let rank = self.ranks.get(&address);
         if let Some(entry) = rank.and_then(|rank| self.entries.get_mut(rank)) {
             entry.is_near |= is_near;
@@ -150,7 +150,7 @@
     }
 
     /// The entry there has been gone for long. One that is linked lives, whatever is said.
-    pub fn forget(&mut self, address: SocketAddr) -> Option<Step> {
+    pub fn remove(&mut self, address: SocketAddr) -> Option<LinkAction> {
         let rank = self.ranks.get(&address)?;
         let entry = self.entries.get(rank);
         if entry.is_some_and(|entry| matches!(entry.seat, Seat::Linked { .. })) {
@@ -159,12 +159,12 @@
         let was = self.entries.remove(rank);
         self.ranks.remove(&address);
         let is_dialled = was.is_some_and(|was| was.seat != Seat::Known);
-        is_dialled.then_some(Step::Drop(address))
+        is_dialled.then_some(LinkAction::Drop(address))
     }
 
     /// The dialled link with this serial number is open. One whose dial has been given up
     /// meanwhile is about to end, and is not dialled again by itself.
-    pub fn up(&mut self, address: SocketAddr, entry: Process, serial: u64) {
+    pub fn link_opened(&mut self, address: SocketAddr, entry: Process, serial: u64) {
         let rank = self.ranks.get(&address);
         let known = rank.and_then(|rank| self.entries.get_mut(rank));
         if let Some(Entry { seat, .. }) = known
@@ -180,7 +180,7 @@
     }
 
     /// The link with this serial number is gone; it is being dialled again.
-    pub fn down(&mut self, gone: u64, now: Duration) {
+    pub fn link_closed(&mut self, gone: u64, now: Duration) {
         for Entry { seat, .. } in self.entries.values_mut() {
             if matches!(seat, Seat::Linked { serial, .. } if *serial == gone) {
                 *seat = Seat::Dialled(now);
@@ -191,7 +191,7 @@
 
     /// What is to be done, at most each quarter of a second. `has_tasks` tells whether an entry
     /// has tasks here.
-    pub fn poll(&mut self, now: Duration, has_tasks: impl Fn(&Process) -> bool) -> Vec<Step> {
+    pub fn poll(&mut self, now: Duration, has_tasks: impl Fn(&Process) -> bool) -> Vec<LinkAction> {
         if self.checked.is_some_and(|at| now < at + CHECK) {
             return Vec::new();
         }
@@ -260,11 +260,11 @@
 }
 
 /// The entry is among the wanted ones.
-fn want(address: SocketAddr, seat: &mut Seat, now: Duration) -> Option<Step> {
+fn want(address: SocketAddr, seat: &mut Seat, now: Duration) -> Option<LinkAction> {
     match seat {
         Seat::Known => {
             *seat = Seat::Dialled(now);
-            Some(Step::Dial(address))
+            Some(LinkAction::Dial(address))
         }
         Seat::Dialled(_) => None,
         Seat::Linked {
@@ -274,7 +274,7 @@
             ..
         } => {
             *surplus = None;
-            retired.take().map(|_| Step::Resume(entry.clone()))
+            retired.take().map(|_| LinkAction::Resume(entry.clone()))
         }
     }
 }
@@ -285,12 +285,12 @@
     seat: &mut Seat,
     now: Duration,
     has_tasks: impl Fn(&Process) -> bool,
-) -> Option<Step> {
+) -> Option<LinkAction> {
     match seat {
         Seat::Known => None,
         Seat::Dialled(_) => {
             *seat = Seat::Known;
-            Some(Step::Drop(address))
+            Some(LinkAction::Drop(address))
         }
         Seat::Linked {
             entry,
@@ -302,11 +302,11 @@
             match *retired {
                 None if now >= since + SURPLUS => {
                     *retired = Some(now);
-                    Some(Step::Retire(entry.clone()))
+                    Some(LinkAction::Retire(entry.clone()))
                 }
                 Some(told) if now >= told + RETIRING && !has_tasks(entry) => {
                     *seat = Seat::Known;
-                    Some(Step::Drop(address))
+                    Some(LinkAction::Drop(address))
                 }
                 _ => None,
             }
--- a/crates/cassiarock-transient/src/scheduler/agent.rs
+++ b/crates/cassiarock-transient/src/scheduler/agent.rs
@@ -72,7 +72,7 @@
         while self
             .sent
             .front()
-            .is_some_and(|(serial, _)| *serial <= load.seen)
+            .is_some_and(|(serial, _)| *serial <= load.last_serial)
         {
             self.sent.pop_front();
         }
@@ -118,7 +118,7 @@
 
     /// How long its tasks run in terms of the median upstream.
     pub(super) fn pace(&self, median: f64) -> f64 {
-        f64::from(self.load.pace.max(1)) / median.max(1.0)
+        f64::from(self.load.slowdown_percent.max(1)) / median.max(1.0)
     }
 
     pub(super) fn serves(&self, service: &str) -> bool {
--- a/crates/cassiarock-transient/src/scheduler/ask.rs
+++ b/crates/cassiarock-transient/src/scheduler/ask.rs
@@ -7,7 +7,7 @@
 use super::choose::is_eligible;
 use super::work::{Phase, Work};
 use super::{Action, Scheduler};
-use crate::message::Ask;
+use crate::message::CapacityRequest;
 use cassiarock_id::Process;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -24,12 +24,12 @@
 pub(super) struct Next<'a> {
     work: &'a Work,
     stage: usize,
-    ask: Ask,
+    ask: CapacityRequest,
 }
 
 impl Next<'_> {
     /// What an agent is asked for; nothing if it could not take the job's tasks.
-    pub(super) fn ask_of(&self, agent: &Agent, now: Duration) -> Option<Ask> {
+    pub(super) fn ask_of(&self, agent: &Agent, now: Duration) -> Option<CapacityRequest> {
         let wanted = &self.work.job.stages[self.stage];
         is_eligible(self.work, wanted, agent, now).then_some(self.ask)
     }
@@ -46,7 +46,7 @@
         let (stage, _) = work.waiting(now).first().copied()?;
         let tasks = work.tasks[stage].iter();
         let waiting = tasks.filter(|task| matches!(task.phase, Phase::Waiting(_)));
-        let ask = Ask {
+        let ask = CapacityRequest {
             is_late: rank.is_late,
             is_unstarted: rank.is_unstarted,
             has_waited: rank.has_waited,
--- a/crates/cassiarock-transient/src/scheduler/choose.rs
+++ b/crates/cassiarock-transient/src/scheduler/choose.rs
@@ -109,7 +109,7 @@
         .is_none_or(|rack| agent.has_label(rack));
     let far = if is_near { 1.0 } else { FAR };
     let free = share(agent.free(), &agent.capacity());
-    let failing = f64::from(agent.load.failing) / 100.0;
+    let failing = f64::from(agent.load.failure_percent) / 100.0;
     pace * far * (1.0 + FULL * (1.0 - free) + chance) + failing
 }
 
--- a/crates/cassiarock-transient/src/scheduler/eject.rs
+++ b/crates/cassiarock-transient/src/scheduler/eject.rs
@@ -16,8 +16,8 @@
         let mut paces: Vec<u16> = self
             .agents
             .values()
-            .filter(|agent| agent.is_linked && agent.load.pace > 0)
-            .map(|agent| agent.load.pace)
+            .filter(|agent| agent.is_linked && agent.load.slowdown_percent > 0)
+            .map(|agent| agent.load.slowdown_percent)
             .collect();
         paces.sort_unstable();
         f64::from(paces.get(paces.len() / 2).copied().unwrap_or(100).max(1))
@@ -35,8 +35,8 @@
         let mut failing: Vec<(u8, Process)> = self
             .agents
             .iter()
-            .filter(|(_, agent)| agent.load.failing >= FAILING)
-            .map(|(process, agent)| (agent.load.failing, process.clone()))
+            .filter(|(_, agent)| agent.load.failure_percent >= FAILING)
+            .map(|(process, agent)| (agent.load.failure_percent, process.clone()))
             .collect();
         failing.sort_by(|a, b| b.cmp(a));
         failing.truncate(bound);
--- a/crates/cassiarock-transient/src/scheduler/link.rs
+++ b/crates/cassiarock-transient/src/scheduler/link.rs
@@ -2,7 +2,7 @@
 
 use super::agent::Agent;
 use super::{Action, Scheduler};
-use crate::message::{Ask, Message, Order};
+use crate::message::{CapacityRequest, Message, Order};
 use crate::timing::BEAT;
 use crate::{Decision, evacuation};
 use cassiarock_id::{Name, Process};
@@ -56,7 +56,7 @@
         agent.heard = now;
         self.is_stirred = true;
         match message {
-            Message::AgentBeat { clock, load } => {
+            Message::AgentHeartbeat { clock, load } => {
                 agent.clock = agent.clock.max(clock);
                 agent.update(load);
             }
@@ -64,7 +64,7 @@
                 let told = Decision::new("upstream", "", "").with("agent", from);
                 let told = match &upstream {
                     Some(upstream) => told
-                        .with("upstream", upstream.life())
+                        .with("upstream", upstream.incarnation())
                         .with("leaving", upstream.is_leaving),
                     None => told.with("upstream", "none"),
                 };
@@ -76,19 +76,19 @@
             }
             Message::Ended {
                 clock,
-                endings,
+                results,
                 load,
             } => {
                 agent.clock = agent.clock.max(clock);
                 agent.update(load);
-                for ending in endings {
+                for ending in results {
                     self.settle(from, &ending, now, &mut actions);
                 }
             }
             Message::Held(held) => self.reconcile(from, &held, now, &mut actions),
             Message::Orders { .. }
             | Message::Halt(_)
-            | Message::EntryBeat { .. }
+            | Message::EntryHeartbeat { .. }
             | Message::AskConfiguration
             | Message::Configuration { .. }
             | Message::Entries(_)
@@ -104,7 +104,7 @@
         let next = self.next(now);
         let agents = self.agents.iter();
         let due = agents.filter(|(_, agent)| agent.is_linked && now >= agent.echoed + BEAT);
-        let due: Vec<(Process, Option<Ask>)> = due
+        let due: Vec<(Process, Option<CapacityRequest>)> = due
             .map(|(process, agent)| {
                 let ask = next.and_then(|next| next.ask_of(agent, now));
                 (process.clone(), ask)
@@ -119,7 +119,7 @@
     pub(super) fn echo(
         &mut self,
         process: &Process,
-        ask: Option<Ask>,
+        ask: Option<CapacityRequest>,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
@@ -127,7 +127,7 @@
             return;
         };
         agent.echoed = now;
-        let message = Message::EntryBeat {
+        let message = Message::EntryHeartbeat {
             echo: agent.clock,
             version: self.version,
             ask,
@@ -143,7 +143,7 @@
     ) {
         let next = self.next(now);
         let ask_of = |process| next?.ask_of(self.agents.get(process)?, now);
-        let asks: Vec<Option<Ask>> = orders.keys().map(ask_of).collect();
+        let asks: Vec<Option<CapacityRequest>> = orders.keys().map(ask_of).collect();
         for ((process, orders), ask) in orders.into_iter().zip(asks) {
             let Some(agent) = self.agents.get_mut(&process) else {
                 continue;
--- a/crates/cassiarock-transient/src/scheduler/lost.rs
+++ b/crates/cassiarock-transient/src/scheduler/lost.rs
@@ -4,7 +4,7 @@
 use super::work::Work;
 use super::{Action, Scheduler};
 use crate::Decision;
-use crate::message::{Attempt, End, Message};
+use crate::message::{Attempt, Message, Outcome};
 use cassiarock_id::Process;
 use std::time::Duration;
 
@@ -85,7 +85,7 @@
             };
             work.has_run = true;
             if let Some(task) = work.present(from, attempt) {
-                place_again(task, from, End::Lost, now);
+                place_again(task, from, Outcome::Lost, now);
             }
             let line = Decision::new(
                 "placing again",
--- a/crates/cassiarock-transient/src/scheduler/settle.rs
+++ b/crates/cassiarock-transient/src/scheduler/settle.rs
@@ -2,7 +2,7 @@
 
 use super::work::{Phase, Task, Work};
 use super::{Action, Answer, Scheduler, Stage, told};
-use crate::message::{End, Ending};
+use crate::message::{AttemptResult, Outcome};
 use cassiarock_id::Process;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     pub(super) fn settle(
         &mut self,
         from: &Process,
-        ending: &Ending,
+        ending: &AttemptResult,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
@@ -34,7 +34,7 @@
         if work.present(from, &ending.attempt).is_none() {
             return;
         }
-        work.has_run |= !ending.end.is_unrun();
+        work.has_run |= !ending.outcome.is_unstarted();
         let attempts = work.class.attempts.max(1);
         let Some(task) = work.present(from, &ending.attempt) else {
             return;
@@ -42,9 +42,9 @@
         if let Some(agent) = self.agents.get_mut(from) {
             agent.placed = agent.placed.saturating_sub(1);
         }
-        match ending.end {
-            End::Done => self.done(from, ending, now, actions),
-            End::Failed => {
+        match ending.outcome {
+            Outcome::Done => self.done(from, ending, now, actions),
+            Outcome::Failed => {
                 task.failures += 1;
                 let is_over = task.failures >= attempts;
                 retry(task, from, now);
@@ -55,9 +55,9 @@
                     self.requeue(number);
                 }
             }
-            End::Crashed => self.crashed(from, ending, now, actions),
+            Outcome::Crashed => self.crashed(from, ending, now, actions),
             end => {
-                task.turned += u32::from(end == End::Refused && !task.crashed.is_empty());
+                task.turned += u32::from(end == Outcome::Refused && !task.crashed.is_empty());
                 place_again(task, from, end, now);
                 self.requeue(number);
             }
@@ -68,7 +68,7 @@
     fn crashed(
         &mut self,
         from: &Process,
-        ending: &Ending,
+        ending: &AttemptResult,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
@@ -88,7 +88,7 @@
             .with("ran_ms", ending.ran.as_millis())
             .with("lost_together", !is_suspect);
         if let Some(task) = work.present(from, &ending.attempt) {
-            place_again(task, from, ending.end, now);
+            place_again(task, from, ending.outcome, now);
             if is_suspect && self.switch.suspicion {
                 task.turned = 0;
                 self.crashes.add(&id, &ending.attempt, task, from, now);
@@ -105,7 +105,13 @@
         }
     }
 
-    fn done(&mut self, from: &Process, ending: &Ending, now: Duration, actions: &mut Vec<Action>) {
+    fn done(
+        &mut self,
+        from: &Process,
+        ending: &AttemptResult,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
         let agent = self.agents.get(from);
         // An end comes from an agent that is known.
         let pace = agent.map_or(1.0, |agent| agent.pace(self.median));
@@ -202,16 +208,19 @@
 /// Its next attempt has a number of its own also if the last one never started. An agent tells
 /// its latest ends again over a new link; with the same number an old refusal would count for
 /// the attempt that runs, which would be placed a second time beside it.
-pub(super) fn place_again(task: &mut Task, from: &Process, end: End, now: Duration) {
+pub(super) fn place_again(task: &mut Task, from: &Process, end: Outcome, now: Duration) {
     let later = match end {
-        End::Busy => BUSY,
-        End::Stale => REFUSED,
+        Outcome::Busy => BUSY,
+        Outcome::Stale => REFUSED,
         _ => Duration::ZERO,
     };
-    if matches!(end, End::Refused | End::Stopped | End::Lost | End::Crashed) {
+    if matches!(
+        end,
+        Outcome::Refused | Outcome::Stopped | Outcome::Lost | Outcome::Crashed
+    ) {
         avoid(task, from);
     }
-    task.attempt += if end == End::Passed { PASSED } else { 1 };
+    task.attempt += if end == Outcome::Passed { PASSED } else { 1 };
     task.phase = Phase::Waiting(now + later);
 }
 
--- a/crates/cassiarock-transient/tests/directory.rs
+++ b/crates/cassiarock-transient/tests/directory.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use cassiarock_id::Name;
-use cassiarock_transient::directory::{Gathering, Place, State, Taken, Update};
+use cassiarock_transient::directory::{ApplyResult, Endpoint, State, Update, UpdateBuilder};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -11,8 +11,8 @@
     format!("10.0.0.{number}:7000").into()
 }
 
-fn place(number: u8) -> Place {
-    Place::new(name(number), "dc-1")
+fn place(number: u8) -> Endpoint {
+    Endpoint::new(name(number), "dc-1")
 }
 
 fn dc() -> Option<Name> {
@@ -20,7 +20,7 @@
 }
 
 fn update(records: &[(u8, bool)], from: usize, to: usize) -> Option<Update> {
-    let mut gathering = Gathering::default();
+    let mut gathering = UpdateBuilder::default();
     for (offset, (address, is_present)) in records.iter().enumerate().take(to).skip(from) {
         gathering.add(
             offset as u64,
@@ -45,7 +45,7 @@
 
 fn listed(state: &State) -> BTreeSet<Name> {
     state
-        .all()
+        .full_update()
         .present
         .into_iter()
         .map(|at| at.address)
@@ -55,15 +55,15 @@
 // An address that an update neither adds nor drops stays; one that came and went within it is gone.
 #[test]
 fn the_last_record_of_an_address_counts() {
-    let mut gathering = Gathering::default();
+    let mut gathering = UpdateBuilder::default();
     gathering.add(4, name(1), dc());
     gathering.add(5, name(1), None);
     gathering.add(6, name(2), dc());
     let update = gathering.take().unwrap();
     assert_eq!((update.since, update.next), (4, 7));
     let mut state = State::default();
-    state.take(&Update::all(4, [place(1), place(3)]));
-    state.take(&update);
+    state.apply(&Update::full(4, [place(1), place(3)]));
+    state.apply(&update);
     assert_eq!(listed(&state), [name(2), name(3)].into());
     assert_eq!(gathering.take(), None);
 }
@@ -73,13 +73,13 @@
 #[test]
 fn an_address_that_is_announced_again_is_in_the_update() {
     let mut state = State::default();
-    state.take(&Update::all(4, [place(1)]));
-    let mut gathering = Gathering::default();
+    state.apply(&Update::full(4, [place(1)]));
+    let mut gathering = UpdateBuilder::default();
     gathering.add(4, name(1), dc());
     let update = gathering.take().unwrap();
     assert!(matches!(
-        state.take(&update),
-        Taken::Changed { added: 0, .. }
+        state.apply(&update),
+        ApplyResult::Changed { added: 0, .. }
     ));
     assert_eq!(update.present, [place(1)]);
 }
@@ -87,10 +87,10 @@
 #[test]
 fn an_agent_that_knows_as_much_is_told_nothing_by_a_version() {
     let mut state = State::default();
-    state.take(&Update::all(4, [place(1)]));
-    let version = state.version();
-    assert_eq!(state.take(&version), Taken::Known);
-    assert_eq!(State::default().take(&version), Taken::Gap);
+    state.apply(&Update::full(4, [place(1)]));
+    let version = state.empty_update();
+    assert_eq!(state.apply(&version), ApplyResult::Known);
+    assert_eq!(State::default().apply(&version), ApplyResult::Gap);
 }
 
 proptest! {
@@ -107,11 +107,11 @@
             let from = from.min(records.len() - 1);
             let to = (from + length).min(records.len());
             let Some(update) = update(&records, from, to) else { continue };
-            if state.take(&update) == Taken::Gap {
-                let all = Update::all(to as u64, at(&records, to).into_iter().map(|at| Place::new(at, "dc-1")));
-                state.take(&all);
+            if state.apply(&update) == ApplyResult::Gap {
+                let all = Update::full(to as u64, at(&records, to).into_iter().map(|at| Endpoint::new(at, "dc-1")));
+                state.apply(&all);
             }
-            prop_assert_eq!(listed(&state), at(&records, state.next() as usize));
+            prop_assert_eq!(listed(&state), at(&records, state.next_offset() as usize));
         }
     }
 }
--- a/crates/cassiarock-transient/tests/host/orders.rs
+++ b/crates/cassiarock-transient/tests/host/orders.rs
@@ -2,8 +2,8 @@
 
 use crate::world::{World, entry, held, ms};
 use cassiarock_transient::Message;
-use cassiarock_transient::host::{Action, Answer};
-use cassiarock_transient::message::End;
+use cassiarock_transient::host::{Action, StartResponse};
+use cassiarock_transient::message::Outcome;
 use cassiarock_transient::timing::CONTACT;
 
 #[test]
@@ -11,10 +11,10 @@
     let mut world = World::new();
     world.order(1, "j", 1);
     let (task, _) = world.starts[0].clone();
-    world.answer(&task, Answer::Started);
-    assert_eq!(world.host.running(), 1);
-    world.observe(&[], &[(1, "j", 1, End::Done)]);
-    assert_eq!(world.end_of(1), Some(End::Done));
+    world.answer(&task, StartResponse::Started);
+    assert_eq!(world.host.attempt_count(), 1);
+    world.observe(&[], &[(1, "j", 1, Outcome::Done)]);
+    assert_eq!(world.end_of(1), Some(Outcome::Done));
     assert_eq!(world.load.free.cpu, 10_000);
 }
 
@@ -25,8 +25,8 @@
         world.order(1, &format!("j-{number}"), 1);
     }
     assert_eq!(world.starts.len(), 10);
-    let full = world.endings.iter();
-    let full = full.filter(|(_, ending)| ending.end == End::Full);
+    let full = world.results.iter();
+    let full = full.filter(|(_, result)| result.outcome == Outcome::Full);
     assert_eq!(full.count(), 1);
 }
 
@@ -39,7 +39,7 @@
     world.now += CONTACT;
     world.order_after(1, "j", 1, before);
     assert!(world.starts.is_empty());
-    assert_eq!(world.end_of(1), Some(End::Stale));
+    assert_eq!(world.end_of(1), Some(Outcome::Stale));
 }
 
 // The upstream left an order unanswered and carried it out four seconds later, when the task
@@ -52,14 +52,14 @@
     let (task, until) = world.starts[0].clone();
     assert!(until <= world.clock() + 1_000, "void within a lease");
     world.now += ms(40);
-    world.answer(&task, Answer::Silent);
+    world.answer(&task, StartResponse::NoResponse);
     assert_eq!(world.stops, std::slice::from_ref(&task));
     assert_eq!(world.end_of(1), None, "it may run yet");
     let actions = world.stopped(&task);
     assert_eq!(actions, [Action::Poll]);
     world.observe(&[], &[]);
-    assert_eq!(world.end_of(1), Some(End::Refused));
-    assert_eq!(world.host.running(), 0);
+    assert_eq!(world.end_of(1), Some(Outcome::Refused));
+    assert_eq!(world.host.attempt_count(), 0);
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let mut world = World::new();
     world.order(1, "j", 1);
     let (task, _) = world.starts[0].clone();
-    world.answer(&task, Answer::Silent);
+    world.answer(&task, StartResponse::NoResponse);
     world.pass(250);
     assert!(world.stops.len() >= 2, "{:?}", world.stops.len());
     assert_eq!(world.end_of(1), None);
@@ -81,22 +81,22 @@
     world.link(2);
     world.order(1, "j", 1);
     let (task, _) = world.starts[0].clone();
-    world.answer(&task, Answer::Started);
+    world.answer(&task, StartResponse::Started);
     world.order(2, "j", 1);
     assert_eq!(world.starts.len(), 1);
     assert_eq!(world.stops, [task]);
-    let (to, ending) = world.endings[0].clone();
-    assert_eq!((to, ending.end), (entry(2), End::Busy));
+    let (to, result) = world.results[0].clone();
+    assert_eq!((to, result.outcome), (entry(2), Outcome::Busy));
 }
 
 #[test]
 fn a_task_nobody_waits_for_is_stopped() {
     let mut world = World::new();
     world.order(1, "j", 1);
-    let actions = world.host.halt(&entry(1), &[held(1)], world.now);
+    let actions = world.host.handle_halt(&entry(1), &[held(1)], world.now);
     world.take(actions);
     assert_eq!(world.stops.len(), 1);
-    let actions = world.host.halt(&entry(1), &[held(1)], world.now);
+    let actions = world.host.handle_halt(&entry(1), &[held(1)], world.now);
     world.take(actions);
     assert_eq!(world.stops.len(), 1, "once");
 }
@@ -117,16 +117,16 @@
 fn a_data_centre_that_is_emptied_starts_nothing_and_lets_end_what_runs() {
     let mut world = World::new();
     world.order(1, "running", 1);
-    let actions = world.host.evacuate(true);
+    let actions = world.host.set_evacuated(true);
     let told = actions.iter().any(|action| {
         matches!(action, Action::Send(_, Message::Upstream(Some(upstream))) if upstream.is_leaving)
     });
     assert!(told, "{actions:?}");
     world.order(1, "late", 2);
-    assert_eq!(world.end_of(2), Some(End::Closed));
+    assert_eq!(world.end_of(2), Some(Outcome::Closed));
     assert_eq!(world.starts.len(), 1);
     assert!(world.stops.is_empty());
-    world.host.evacuate(false);
+    world.host.set_evacuated(false);
     world.order(1, "later", 3);
     assert_eq!(world.starts.len(), 2);
 }
@@ -141,13 +141,13 @@
     world.suspect = Some("agent-7".into());
     world.order(1, "j", 1);
     world.order(2, "k", 2);
-    assert_eq!(world.end_of(2), Some(End::Refused));
+    assert_eq!(world.end_of(2), Some(Outcome::Refused));
     world.suspect = Some("agent-8".into());
     world.order(2, "l", 3);
     world.suspect = None;
     world.order(2, "m", 4);
     assert_eq!(world.starts.len(), 3, "others run there");
-    world.observe(&[], &[(1, "j", 1, End::Done)]);
+    world.observe(&[], &[(1, "j", 1, Outcome::Done)]);
     world.suspect = Some("agent-7".into());
     world.order(2, "k", 5);
     assert_eq!(world.starts.len(), 4);
--- a/crates/cassiarock-transient/tests/host/polls.rs
+++ b/crates/cassiarock-transient/tests/host/polls.rs
@@ -3,8 +3,8 @@
 
 use crate::world::{World, ms};
 use cassiarock_transient::Message;
-use cassiarock_transient::host::{Action, pause};
-use cassiarock_transient::message::End;
+use cassiarock_transient::host::{Action, poll_backoff};
+use cassiarock_transient::message::Outcome;
 use cassiarock_transient::timing::{BEAT, LEASE, SILENCE};
 
 // An upstream that runs nothing was polled as often as a busy one, 22 times a second: most of what
@@ -12,12 +12,12 @@
 #[test]
 fn an_upstream_that_runs_nothing_is_polled_less_often() {
     let mut world = World::new();
-    let idle = world.host.wait();
+    let idle = world.host.poll_wait();
     world.order(1, "j", 1);
-    let busy = world.host.wait();
+    let busy = world.host.poll_wait();
     assert!(idle >= busy * 3, "{idle:?} and {busy:?}");
-    world.observe(&[], &[(1, "j", 1, End::Done)]);
-    assert_eq!(world.host.wait(), idle);
+    world.observe(&[], &[(1, "j", 1, Outcome::Done)]);
+    assert_eq!(world.host.poll_wait(), idle);
 }
 
 // A task started just after a poll of an idle upstream had gone out, and one more poll was lost:
@@ -25,8 +25,8 @@
 #[test]
 fn a_task_that_starts_during_a_long_poll_keeps_its_lease() {
     let world = World::new();
-    let idle = world.host.wait();
-    let lost = world.host.wait() + ms(250);
+    let idle = world.host.poll_wait();
+    let lost = world.host.poll_wait() + ms(250);
     assert!(idle + lost < LEASE, "{idle:?} and {lost:?}");
     assert!(idle < SILENCE);
 }
@@ -35,9 +35,9 @@
 #[test]
 fn an_upstream_that_is_not_known_yet_counts_as_busy() {
     let mut world = World::new();
-    let idle = world.host.wait();
+    let idle = world.host.poll_wait();
     world.report("u-2", 1);
-    assert!(world.host.wait() < idle);
+    assert!(world.host.poll_wait() < idle);
 }
 
 // Each of twelve quiet links had a time of its own for heartbeats, so that an agent without any
@@ -53,13 +53,13 @@
     let end = world.now + ms(2_000);
     let (mut wakes, mut beats) = (0, 0);
     while world.now < end {
-        let next = world.host.wake(world.now).max(world.now + ms(1));
+        let next = world.host.next_poll(world.now).max(world.now + ms(1));
         assert!(next <= world.now + BEAT, "none is late");
         world.now = next;
         let actions = world.host.poll(world.now);
         let sent = actions
             .iter()
-            .filter(|action| matches!(action, Action::Send(_, Message::AgentBeat { .. })));
+            .filter(|action| matches!(action, Action::Send(_, Message::AgentHeartbeat { .. })));
         beats += sent.count();
         wakes += 1;
     }
@@ -72,10 +72,10 @@
 fn an_upstream_that_is_down_is_polled_less_and_less() {
     let mut passed = ms(0);
     let polls = (1..).find(|failures| {
-        passed += pause(*failures);
+        passed += poll_backoff(*failures);
         passed >= ms(4_000)
     });
     assert!(polls.is_some_and(|polls| polls <= 32), "{polls:?}");
-    let at_once = pause(1) + pause(2);
+    let at_once = poll_backoff(1) + poll_backoff(2);
     assert!(at_once <= ms(60), "a lost answer or two cost no time");
 }
--- a/crates/cassiarock-transient/tests/host/births.rs
+++ b/crates/cassiarock-transient/tests/host/restarts.rs
@@ -1,22 +1,22 @@
 //! Upstreams that start again under the id that they had.
 
 use crate::world::{World, ms};
-use cassiarock_transient::Life;
-use cassiarock_transient::host::Answer;
-use cassiarock_transient::message::End;
+use cassiarock_transient::Incarnation;
+use cassiarock_transient::host::StartResponse;
+use cassiarock_transient::message::Outcome;
 
-fn born(at: u64) -> Life {
-    Life::new("u").with_born(Some(at))
+fn started_at(at: u64) -> Incarnation {
+    Incarnation::new("u").with_started_at(Some(at))
 }
 
 /// An agent whose upstream started at 1,000, with one task that runs there.
 fn running() -> World {
     let mut world = World::new();
-    world.report_of(&born(1_000), 40);
+    world.report_of(&started_at(1_000), 40);
     world.observe(&[], &[]);
     world.order(1, "j", 1);
     let (task, _) = world.starts[0].clone();
-    world.answer(&task, Answer::Started);
+    world.answer(&task, StartResponse::Started);
     world
 }
 
@@ -25,10 +25,10 @@
 #[test]
 fn an_upstream_that_starts_again_under_its_id_is_used_again() {
     let mut world = running();
-    world.report_of(&born(2_000), 1);
+    world.report_of(&started_at(2_000), 1);
     assert_eq!(
         world.end_of(1),
-        Some(End::Crashed),
+        Some(Outcome::Crashed),
         "its tasks are placed elsewhere"
     );
     world.observe(&[], &[]);
@@ -41,14 +41,14 @@
 #[test]
 fn ends_are_counted_anew_in_a_new_life() {
     let mut world = running();
-    world.observe(&[], &[(57, "j", 1, End::Done)]);
-    assert_eq!(world.host.seen(world.now), 57);
-    world.report_of(&born(2_000), 1);
-    assert_eq!(world.host.seen(world.now), 0);
+    world.observe(&[], &[(57, "j", 1, Outcome::Done)]);
+    assert_eq!(world.host.last_seen_end(world.now), 57);
+    world.report_of(&started_at(2_000), 1);
+    assert_eq!(world.host.last_seen_end(world.now), 0);
     world.observe(&[], &[]);
     world.order(1, "k", 2);
-    world.observe(&[], &[(1, "k", 2, End::Done)]);
-    assert_eq!(world.end_of(2), Some(End::Done));
+    world.observe(&[], &[(1, "k", 2, Outcome::Done)]);
+    assert_eq!(world.end_of(2), Some(Outcome::Done));
 }
 
 // While an upstream was down, polls went unanswered. The first one that the new life answered
@@ -56,10 +56,10 @@
 #[test]
 fn a_poll_of_an_upstream_that_was_silent_forgets_no_end() {
     let mut world = running();
-    world.observe(&[], &[(57, "j", 1, End::Done)]);
+    world.observe(&[], &[(57, "j", 1, Outcome::Done)]);
     world.pass(400);
-    assert_eq!(world.host.seen(world.now), 0);
-    assert_eq!(world.host.renew(world.now), None);
+    assert_eq!(world.host.last_seen_end(world.now), 0);
+    assert_eq!(world.host.renew_leases(world.now), None);
 }
 
 // A new life answered a poll before it had reported. It was taken for the old one: its clock
@@ -68,18 +68,22 @@
 fn an_answer_of_a_new_life_ends_the_former_one_and_opens_nothing_before_a_report() {
     let mut world = running();
     world.now += ms(100);
-    world.answered(&born(2_000), world.now, 7, &[]);
-    assert_eq!(world.end_of(1), Some(End::Crashed));
-    world.answered(&born(2_000), world.now, 8, &[]);
+    world.answered(&started_at(2_000), world.now, 7, &[]);
+    assert_eq!(world.end_of(1), Some(Outcome::Crashed));
+    world.answered(&started_at(2_000), world.now, 8, &[]);
     world.order(1, "k", 2);
-    assert_eq!(world.end_of(2), Some(End::Closed), "its room is not known");
+    assert_eq!(
+        world.end_of(2),
+        Some(Outcome::Closed),
+        "its room is not known"
+    );
     assert!(
         world
             .host
-            .renew(world.now)
+            .renew_leases(world.now)
             .is_some_and(|until| until < 1_000)
     );
-    world.report_of(&born(2_000), 1);
+    world.report_of(&started_at(2_000), 1);
     world.order(1, "k", 3);
     assert_eq!(world.starts.len(), 2);
 }
@@ -88,26 +92,31 @@
 fn held_up_answers_of_a_former_life_change_nothing() {
     let mut world = running();
     let asked = world.now;
-    let former = world.life();
+    let former = world.incarnation();
     world.now += ms(50);
     world.ahead = 0;
-    world.report_of(&born(2_000), 1);
+    world.report_of(&started_at(2_000), 1);
     world.observe(&[], &[]);
     world.order(1, "k", 2);
     let (task, _) = world.starts[1].clone();
-    world.answer(&task, Answer::Started);
+    world.answer(&task, StartResponse::Started);
     let clock = Some(9_000_000);
-    let mut actions = world
-        .host
-        .started(&former, &task, Answer::Full, clock, world.now);
-    actions.extend(world.host.stopped(&former, &task, clock, world.now));
+    let mut actions =
+        world
+            .host
+            .handle_start_response(&former, &task, StartResponse::Full, clock, world.now);
+    actions.extend(
+        world
+            .host
+            .handle_stop_response(&former, &task, clock, world.now),
+    );
     world.take(actions);
     world.answered(&former, asked, 9_000_000, &[("j", 1)]);
-    world.report_of(&born(1_000), 99);
-    assert_eq!(world.life(), born(2_000));
+    world.report_of(&started_at(1_000), 99);
+    assert_eq!(world.incarnation(), started_at(2_000));
     assert_eq!(world.end_of(2), None);
     assert!(world.stops.is_empty());
-    let renewed = world.host.renew(world.now);
+    let renewed = world.host.renew_leases(world.now);
     assert!(
         renewed.is_some_and(|until| until < 9_000_000),
         "{renewed:?}"
@@ -119,8 +128,8 @@
 #[test]
 fn a_report_of_an_unknown_life_that_started_earlier_is_checked_by_a_poll() {
     let mut world = running();
-    world.report_of(&born(900), 5);
-    assert_eq!(world.life(), born(1_000));
+    world.report_of(&started_at(900), 5);
+    assert_eq!(world.incarnation(), started_at(1_000));
     assert_eq!(world.polls, 1);
     world.observe(&[("j", 1)], &[]);
     assert_eq!(world.end_of(1), None);
@@ -132,12 +141,12 @@
 fn a_life_that_starts_earlier_by_its_clock_is_found_by_its_answer() {
     let mut world = running();
     world.now += ms(100);
-    world.report_of(&born(500), 1);
+    world.report_of(&started_at(500), 1);
     let former = world.host.fence();
-    world.answered(&born(500), world.now, 7, &[]);
-    world.report_of(&born(500), 2);
-    world.answered(&born(500), world.now, 8, &[]);
-    assert_eq!(world.end_of(1), Some(End::Crashed));
+    world.answered(&started_at(500), world.now, 7, &[]);
+    world.report_of(&started_at(500), 2);
+    world.answered(&started_at(500), world.now, 8, &[]);
+    assert_eq!(world.end_of(1), Some(Outcome::Crashed));
     world.order(1, "k", 2);
     assert_eq!(world.starts.len(), 2);
     assert!(world.host.fence() > former);
@@ -148,11 +157,11 @@
 #[test]
 fn a_false_report_keeps_no_upstream_out_for_good() {
     let mut world = running();
-    world.report_of(&born(9_000_000), 1);
+    world.report_of(&started_at(9_000_000), 1);
     world.now += ms(10);
     let clock = world.clock();
-    world.answered(&born(1_000), world.now, clock, &[]);
-    world.report_of(&born(1_000), 41);
+    world.answered(&started_at(1_000), world.now, clock, &[]);
+    world.report_of(&started_at(1_000), 41);
     world.observe(&[], &[]);
     world.order(1, "k", 2);
     assert_eq!(world.starts.len(), 2);
@@ -163,8 +172,8 @@
 fn a_false_report_under_another_id_keeps_no_upstream_out_for_good() {
     let mut world = World::new();
     world.report("stranger", 1);
-    let life = world.life();
-    let actions = world.host.replaced(&life, world.now);
+    let incarnation = world.incarnation();
+    let actions = world.host.handle_replacement(&incarnation, world.now);
     world.take(actions);
     world.report("u-1", 2);
     world.observe(&[], &[]);
@@ -180,7 +189,7 @@
     world.report("u-2", 1);
     world.report("u-2", 2);
     world.report("u-1", 9);
-    assert_eq!(world.life(), Life::new("u-2"));
+    assert_eq!(world.incarnation(), Incarnation::new("u-2"));
 }
 
 // An order was on its way when its upstream crashed. The new life has the id that the order
@@ -188,30 +197,30 @@
 #[test]
 fn an_order_under_way_to_a_former_life_is_over_only_when_the_new_one_shows_it() {
     let mut world = World::new();
-    world.report_of(&born(1_000), 40);
+    world.report_of(&started_at(1_000), 40);
     world.observe(&[], &[]);
     world.order(1, "j", 1);
     let asked = world.now;
     world.now += ms(50);
     let fence = world.host.fence();
-    world.report_of(&born(2_000), 1);
+    world.report_of(&started_at(2_000), 1);
     assert!(
         world.host.fence() > fence,
-        "no later order of the former life counts"
+        "no later order of the former incarnation counts"
     );
     assert_eq!(world.end_of(1), None);
     assert_eq!(world.stops.len(), 1);
-    world.answered(&born(2_000), asked, 5, &[]);
+    world.answered(&started_at(2_000), asked, 5, &[]);
     assert_eq!(
         world.end_of(1),
         None,
         "that poll may have gone out before the order"
     );
     world.now += ms(5);
-    world.answered(&born(2_000), world.now, 10, &[("j", 1)]);
+    world.answered(&started_at(2_000), world.now, 10, &[("j", 1)]);
     assert_eq!(world.end_of(1), None, "it runs there");
-    world.answered(&born(2_000), world.now, 11, &[]);
-    assert_eq!(world.end_of(1), Some(End::Lost), "it has run");
+    world.answered(&started_at(2_000), world.now, 11, &[]);
+    assert_eq!(world.end_of(1), Some(Outcome::Lost), "it has run");
 }
 
 // A former life's deregistration was held up and came when the next one had started under the same
@@ -230,16 +239,16 @@
 fn a_fence_that_is_too_low_is_raised() {
     let mut world = running();
     let before = world.host.fence();
-    let life = world.life();
-    let actions = world.host.fenced(&life);
+    let incarnation = world.incarnation();
+    let actions = world.host.raise_fence(&incarnation);
     world.take(actions);
     assert!(world.host.fence() > before);
-    let former = world.host.fenced(&born(7));
+    let former = world.host.raise_fence(&started_at(7));
     assert!(former.is_empty());
     // A start that lay ten years ahead is reached within a second of polls.
     let ten_years = 10 * 365 * 24 * 3_600_000_u64;
     let tries = (0..).find(|_| {
-        world.host.fenced(&life);
+        world.host.raise_fence(&incarnation);
         world.host.fence() > before + ten_years
     });
     assert!(tries.is_some_and(|tries| tries < 20), "{tries:?}");
--- a/crates/cassiarock-transient/tests/host/room.rs
+++ b/crates/cassiarock-transient/tests/host/room.rs
@@ -3,13 +3,13 @@
 use crate::world::{World, entry, ms};
 use cassiarock_id::Process;
 use cassiarock_transient::host::Action;
-use cassiarock_transient::message::{Ask, End};
+use cassiarock_transient::message::{CapacityRequest, Outcome};
 use cassiarock_transient::{Demand, Message};
 
 /// The entries that are sent a heartbeat by these actions.
 fn told(actions: &[Action]) -> Vec<u64> {
     let beats = actions.iter().filter_map(|action| match action {
-        Action::Send(to, Message::AgentBeat { .. }) => Some(to),
+        Action::Send(to, Message::AgentHeartbeat { .. }) => Some(to),
         _ => None,
     });
     let number = |to: &cassiarock_id::Process| (1..).find(|number| entry(*number) == *to);
@@ -32,7 +32,7 @@
 fn one_more_entry_hears_of_freed_room_at_once() {
     let mut world = with_three_entries();
     world.now += ms(50);
-    let actions = world.end_by_poll(1, "j", 1, End::Done);
+    let actions = world.end_by_poll(1, "j", 1, Outcome::Done);
     assert_eq!(told(&actions).len(), 1, "{actions:?}");
     assert!(
         !told(&actions).contains(&1),
@@ -45,8 +45,8 @@
     let mut world = with_three_entries();
     world.order(1, "k", 1);
     world.now += ms(50);
-    let mut all = told(&world.end_by_poll(1, "j", 1, End::Done));
-    all.extend(told(&world.end_by_poll(2, "k", 1, End::Done)));
+    let mut all = told(&world.end_by_poll(1, "j", 1, Outcome::Done));
+    all.extend(told(&world.end_by_poll(2, "k", 1, Outcome::Done)));
     all.sort_unstable();
     assert_eq!(all, [2, 3]);
 }
@@ -58,13 +58,13 @@
     world.now += ms(100);
     world.poll();
     world.now += ms(5);
-    let actions = world.end_by_poll(1, "j", 1, End::Done);
+    let actions = world.end_by_poll(1, "j", 1, Outcome::Done);
     assert!(told(&actions).is_empty(), "{actions:?}");
 }
 
 /// What an entry waits for: one task of a job with this priority that has to start in time.
-fn ask(urgency: u32) -> Ask {
-    Ask {
+fn ask(urgency: u32) -> CapacityRequest {
+    CapacityRequest {
         is_late: false,
         is_unstarted: true,
         has_waited: false,
@@ -76,20 +76,22 @@
 }
 
 /// An entry says what it waits for. Gives whom the agent then offers room to.
-fn asks(world: &mut World, number: u64, ask: Option<Ask>) -> Option<Process> {
-    let message = Message::EntryBeat {
+fn asks(world: &mut World, number: u64, ask: Option<CapacityRequest>) -> Option<Process> {
+    let message = Message::EntryHeartbeat {
         echo: u64::try_from(world.now.as_millis()).unwrap(),
         version: 1,
         ask,
     };
-    let actions = world.host.message(&entry(number), message, world.now);
+    let actions = world
+        .host
+        .handle_message(&entry(number), message, world.now);
     offered(&actions)
 }
 
 fn offered(actions: &[Action]) -> Option<Process> {
     let mut sent = actions.iter();
     sent.find_map(|action| match action {
-        Action::Send(to, Message::AgentBeat { load, .. } | Message::Ended { load, .. })
+        Action::Send(to, Message::AgentHeartbeat { load, .. } | Message::Ended { load, .. })
             if load.is_offered =>
         {
             Some(to.clone())
@@ -117,7 +119,7 @@
     let mut world = full();
     asks(&mut world, 2, Some(ask(2)));
     asks(&mut world, 3, Some(ask(0)));
-    let actions = world.end_by_poll(1, "j-0", 1, End::Done);
+    let actions = world.end_by_poll(1, "j-0", 1, Outcome::Done);
     assert_eq!(offered(&actions), Some(entry(3)));
     world.order(2, "hasty", 1);
     assert_eq!(world.starts.len(), 10);
@@ -130,7 +132,7 @@
     let mut world = full();
     asks(&mut world, 2, Some(ask(2)));
     asks(&mut world, 3, Some(ask(0)));
-    world.end_by_poll(1, "j-0", 1, End::Done);
+    world.end_by_poll(1, "j-0", 1, Outcome::Done);
     assert_eq!(asks(&mut world, 3, None), Some(entry(2)));
 }
 
@@ -141,7 +143,7 @@
     let mut world = full();
     asks(&mut world, 2, Some(ask(2)));
     asks(&mut world, 3, Some(ask(0)));
-    world.end_by_poll(1, "j-0", 1, End::Done);
+    world.end_by_poll(1, "j-0", 1, Outcome::Done);
     world.now += ms(10);
     let actions = world.host.poll(world.now);
     assert_eq!(offered(&actions), Some(entry(2)));
@@ -152,7 +154,7 @@
     let mut world = full();
     asks(&mut world, 3, Some(ask(0)));
     world.now += ms(150);
-    let actions = world.end_by_poll(1, "j-0", 1, End::Done);
+    let actions = world.end_by_poll(1, "j-0", 1, Outcome::Done);
     assert_eq!(offered(&actions), None);
 }
 
@@ -161,14 +163,14 @@
 #[test]
 fn an_agent_that_takes_nothing_new_offers_nothing() {
     let mut world = full();
-    world.host.evacuate(true);
-    world.end_by_poll(1, "j-0", 1, End::Done);
-    let message = Message::EntryBeat {
+    world.host.set_evacuated(true);
+    world.end_by_poll(1, "j-0", 1, Outcome::Done);
+    let message = Message::EntryHeartbeat {
         echo: u64::try_from(world.now.as_millis()).unwrap(),
         version: 1,
         ask: Some(ask(0)),
     };
-    let actions = world.host.message(&entry(3), message, world.now);
+    let actions = world.host.handle_message(&entry(3), message, world.now);
     assert_eq!(actions, []);
 }
 
@@ -178,6 +180,9 @@
 #[test]
 fn ends_that_are_told_together_come_with_the_room_after_the_last() {
     let mut world = full();
-    world.observe(&[], &[(1, "j-0", 1, End::Done), (2, "j-1", 1, End::Done)]);
+    world.observe(
+        &[],
+        &[(1, "j-0", 1, Outcome::Done), (2, "j-1", 1, Outcome::Done)],
+    );
     assert_eq!(world.load.free.cpu, 2_000);
 }
--- a/crates/cassiarock-transient/tests/host/shrink.rs
+++ b/crates/cassiarock-transient/tests/host/shrink.rs
@@ -1,7 +1,7 @@
 //! Room that shrinks and grows while tasks run.
 
 use crate::world::{World, ms};
-use cassiarock_transient::message::End;
+use cassiarock_transient::message::Outcome;
 
 /// An agent with so many tasks of one core each, of the ten that fit.
 fn with_tasks(count: u32) -> World {
@@ -22,16 +22,16 @@
     assert_eq!(world.load.free.cpu, 0);
     for ended in 1..=4 {
         let job = format!("j-{ended}");
-        world.observe(&[], &[(u64::from(ended), &job, ended, End::Done)]);
+        world.observe(&[], &[(u64::from(ended), &job, ended, Outcome::Done)]);
         world.order(1, "k", 20 + ended);
         assert_eq!(
             world.end_of(20 + ended),
-            Some(End::Full),
+            Some(Outcome::Full),
             "after {ended} ends"
         );
     }
     assert!(world.stops.is_empty(), "what runs goes on");
-    world.observe(&[], &[(5, "j-5", 5, End::Done)]);
+    world.observe(&[], &[(5, "j-5", 5, Outcome::Done)]);
     world.order(1, "l", 30);
     assert_eq!(world.starts.len(), 9);
 }
@@ -53,8 +53,8 @@
         world.resize(cpu);
         world.order(1, "k", 40 + u32::try_from(cpu).unwrap());
     }
-    assert_eq!(world.end_of(40), Some(End::Full));
-    assert_eq!(world.end_of(1_039), Some(End::Full));
+    assert_eq!(world.end_of(40), Some(Outcome::Full));
+    assert_eq!(world.end_of(1_039), Some(Outcome::Full));
     world.resize(2_000);
     world.order(1, "l", 50);
     assert_eq!(world.starts.len(), 2);
@@ -66,14 +66,15 @@
 fn what_is_being_stopped_counts_in_the_shrunk_room() {
     let mut world = with_tasks(4);
     world.resize(4_000);
-    let actions = world
-        .host
-        .halt(&crate::world::entry(1), &[crate::world::held(1)], world.now);
+    let actions =
+        world
+            .host
+            .handle_halt(&crate::world::entry(1), &[crate::world::held(1)], world.now);
     world.take(actions);
     world.now += ms(20);
     world.order(1, "k", 60);
-    assert_eq!(world.end_of(60), Some(End::Full));
-    world.observe(&[], &[(1, "j-1", 1, End::Stopped)]);
+    assert_eq!(world.end_of(60), Some(Outcome::Full));
+    world.observe(&[], &[(1, "j-1", 1, Outcome::Stopped)]);
     world.order(1, "l", 61);
     assert_eq!(world.starts.len(), 5);
 }
@@ -83,10 +84,10 @@
 #[test]
 fn room_that_was_offered_and_is_gone_is_not_given() {
     let mut world = with_tasks(9);
-    world.observe(&[], &[(1, "j-1", 1, End::Done)]);
+    world.observe(&[], &[(1, "j-1", 1, Outcome::Done)]);
     world.resize(8_000);
     world.order(1, "k", 70);
-    assert_eq!(world.end_of(70), Some(End::Full));
+    assert_eq!(world.end_of(70), Some(Outcome::Full));
 }
 
 // A held-up report told of the room that had been before it shrank.
@@ -96,8 +97,8 @@
     world.resize(3_000);
     let older = world.host.worker().cloned().unwrap_or_default();
     world.resize(2_000);
-    let actions = world.host.report(older, world.now);
+    let actions = world.host.handle_report(older, world.now);
     world.take(actions);
     world.order(1, "k", 80);
-    assert_eq!(world.end_of(80), Some(End::Full));
+    assert_eq!(world.end_of(80), Some(Outcome::Full));
 }
--- a/crates/cassiarock-transient/tests/host/world.rs
+++ b/crates/cassiarock-transient/tests/host/world.rs
@@ -1,9 +1,9 @@
 //! An agent with an upstream and an entry.
 
 use cassiarock_id::Process;
-use cassiarock_transient::host::{Action, Answer, Named, Snapshot, Task, Worker};
-use cassiarock_transient::message::{Attempt, End, Ending, Load, Order, Start};
-use cassiarock_transient::{Demand, Host, Life, Message};
+use cassiarock_transient::host::{Action, AttemptKey, Snapshot, StartResponse, Task, Worker};
+use cassiarock_transient::message::{Attempt, AttemptResult, Load, Order, Outcome, Start};
+use cassiarock_transient::{Demand, Host, Incarnation, Message};
 use std::time::Duration;
 
 pub const fn ms(millis: u64) -> Duration {
@@ -22,7 +22,7 @@
     pub stops: Vec<Task>,
     /// How many polls were asked for at once.
     pub polls: usize,
-    pub endings: Vec<(Process, Ending)>,
+    pub results: Vec<(Process, AttemptResult)>,
     pub load: Load,
     /// Of which loss the tasks that are ordered are suspected.
     pub suspect: Option<cassiarock_id::Name>,
@@ -39,7 +39,7 @@
             starts: Vec::new(),
             stops: Vec::new(),
             polls: 0,
-            endings: Vec::new(),
+            results: Vec::new(),
             load: Load::default(),
             suspect: None,
             ahead: 500_000,
@@ -55,7 +55,7 @@
     }
 
     pub fn report(&mut self, id: &str, sequence: u64) {
-        self.report_of(&Life::new(id), sequence);
+        self.report_of(&Incarnation::new(id), sequence);
     }
 
     /// The upstream reports that it has this much room from now on.
@@ -66,35 +66,44 @@
             sequence: known.sequence + 1,
             ..known
         };
-        let actions = self.host.report(worker, self.now);
+        let actions = self.host.handle_report(worker, self.now);
         self.take(actions);
     }
 
     /// A report of one life.
-    pub fn report_of(&mut self, life: &Life, sequence: u64) {
+    pub fn report_of(&mut self, incarnation: &Incarnation, sequence: u64) {
         let worker = Worker {
-            id: life.id.clone(),
-            born: life.born,
+            id: incarnation.id.clone(),
+            started_at: incarnation.started_at,
             service: "s".into(),
             capacity: Demand::new(10_000, 1_000, 0),
             clock: self.clock(),
             sequence,
             ..Worker::default()
         };
-        let actions = self.host.report(worker, self.now);
+        let actions = self.host.handle_report(worker, self.now);
         self.take(actions);
     }
 
     /// The life of the upstream that the agent knows.
-    pub fn life(&self) -> Life {
-        self.host.worker().map(Worker::life).unwrap_or_default()
+    pub fn incarnation(&self) -> Incarnation {
+        self.host
+            .worker()
+            .map(Worker::incarnation)
+            .unwrap_or_default()
     }
 
     /// A poll that was sent at `asked` is answered by this life, whose clock is at `clock`.
-    pub fn answered(&mut self, life: &Life, asked: Duration, clock: u64, running: &[(&str, u32)]) {
+    pub fn answered(
+        &mut self,
+        incarnation: &Incarnation,
+        asked: Duration,
+        clock: u64,
+        running: &[(&str, u32)],
+    ) {
         let running = running.iter();
         let snapshot = Snapshot {
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             clock,
             asked,
             running: running
@@ -102,7 +111,7 @@
                 .collect(),
             ended: Vec::new(),
         };
-        let actions = self.host.observe(&snapshot, self.now);
+        let actions = self.host.handle_snapshot(&snapshot, self.now);
         self.take(actions);
     }
 
@@ -134,29 +143,30 @@
         };
         let actions = self
             .host
-            .order(&entry(number), 1, echo, vec![order], self.now);
+            .handle_orders(&entry(number), 1, echo, vec![order], self.now);
         self.take(actions);
     }
 
-    pub fn answer(&mut self, task: &Task, answer: Answer) {
+    pub fn answer(&mut self, task: &Task, answer: StartResponse) {
         let clock = Some(self.clock());
-        let actions = self
-            .host
-            .started(&self.life(), task, answer, clock, self.now);
+        let actions =
+            self.host
+                .handle_start_response(&self.incarnation(), task, answer, clock, self.now);
         self.take(actions);
     }
 
     pub fn stopped(&mut self, task: &Task) -> Vec<Action> {
         let clock = Some(self.clock());
-        self.host.stopped(&self.life(), task, clock, self.now)
+        self.host
+            .handle_stop_response(&self.incarnation(), task, clock, self.now)
     }
 
     /// A poll shows these jobs' tasks as running, and these as ended.
-    pub fn observe(&mut self, running: &[(&str, u32)], ended: &[(u64, &str, u32, End)]) {
-        let renewed = self.host.renew(self.now);
+    pub fn observe(&mut self, running: &[(&str, u32)], ended: &[(u64, &str, u32, Outcome)]) {
+        let renewed = self.host.renew_leases(self.now);
         assert!(renewed.is_none_or(|until| until <= self.clock() + 1_000));
         let snapshot = Snapshot {
-            life: self.life(),
+            incarnation: self.incarnation(),
             clock: self.clock(),
             asked: self.now,
             running: running
@@ -168,27 +178,33 @@
                 .map(|(number, job, attempt, end)| (*number, (*job).into(), named(*attempt), *end))
                 .collect(),
         };
-        let actions = self.host.observe(&snapshot, self.now);
+        let actions = self.host.handle_snapshot(&snapshot, self.now);
         self.take(actions);
     }
 
     /// A poll shows that the task of a job has ended. Gives what the agent does.
-    pub fn end_by_poll(&mut self, number: u64, job: &str, attempt: u32, end: End) -> Vec<Action> {
+    pub fn end_by_poll(
+        &mut self,
+        number: u64,
+        job: &str,
+        attempt: u32,
+        end: Outcome,
+    ) -> Vec<Action> {
         let snapshot = Snapshot {
-            life: self.life(),
+            incarnation: self.incarnation(),
             clock: self.clock(),
             asked: self.now,
             running: Vec::new(),
             ended: vec![(number, job.into(), named(attempt), end)],
         };
-        self.host.observe(&snapshot, self.now)
+        self.host.handle_snapshot(&snapshot, self.now)
     }
 
     /// Lets time pass in which the entry is heard.
     pub fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now += ms(10);
-            self.host.heard(&entry(1), self.now);
+            self.host.record_echo(&entry(1), self.now);
             self.poll();
         }
     }
@@ -198,10 +214,10 @@
         self.take(actions);
     }
 
-    pub fn end_of(&self, attempt: u32) -> Option<End> {
-        let mut endings = self.endings.iter();
-        let found = endings.find(|(_, ending)| ending.attempt.attempt == attempt);
-        found.map(|(_, ending)| ending.end)
+    pub fn end_of(&self, attempt: u32) -> Option<Outcome> {
+        let mut results = self.results.iter();
+        let found = results.find(|(_, result)| result.attempt.attempt == attempt);
+        found.map(|(_, result)| result.outcome)
     }
 
     pub fn take(&mut self, actions: Vec<Action>) {
@@ -209,21 +225,21 @@
             match action {
                 Action::Start { task, until, .. } => self.starts.push((task, until)),
                 Action::Stop(task) => self.stops.push(task),
-                Action::Send(to, Message::Ended { endings, load, .. }) => {
+                Action::Send(to, Message::Ended { results, load, .. }) => {
                     self.load = load;
-                    let endings = endings.into_iter().map(|ending| (to.clone(), ending));
-                    self.endings.extend(endings);
+                    let results = results.into_iter().map(|result| (to.clone(), result));
+                    self.results.extend(results);
                 }
-                Action::Send(_, Message::AgentBeat { load, .. }) => self.load = load,
+                Action::Send(_, Message::AgentHeartbeat { load, .. }) => self.load = load,
                 Action::Poll => self.polls += 1,
-                Action::Send(..) | Action::Tell(_) => {}
+                Action::Send(..) | Action::Log(_) => {}
             }
         }
     }
 }
 
-fn named(attempt: u32) -> Named {
-    Named {
+fn named(attempt: u32) -> AttemptKey {
+    AttemptKey {
         stage: 0,
         index: 0,
         attempt,
--- a/crates/cassiarock-transient/tests/roster.rs
+++ b/crates/cassiarock-transient/tests/roster.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use cassiarock_id::Process;
-use cassiarock_transient::roster::{LINKS, PEERS, Roster, Step};
+use cassiarock_transient::roster::{LINKS_PER_AGENT, LINKS_PER_ENTRY, LinkAction, Roster};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -44,7 +44,7 @@
             serial: 0,
         };
         for number in 0..entries {
-            world.roster.tell(address(number), false);
+            world.roster.add(address(number), false);
         }
         world
     }
@@ -61,22 +61,22 @@
                 self.dialled.remove(&at);
                 self.serial += 1;
                 self.linked.insert(at, self.serial);
-                self.roster.up(at, process(at), self.serial);
+                self.roster.link_opened(at, process(at), self.serial);
             }
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn take(&mut self, step: LinkAction) {
         match step {
-            Step::Dial(at) => assert!(self.dialled.insert(at), "dialled once"),
-            Step::Drop(at) => {
+            LinkAction::Dial(at) => assert!(self.dialled.insert(at), "dialled once"),
+            LinkAction::Drop(at) => {
                 self.dialled.remove(&at);
                 if self.linked.remove(&at).is_some() {
                     assert!(self.retired.remove(&process(at)), "told before");
                 }
             }
-            Step::Retire(entry) => assert!(self.retired.insert(entry)),
-            Step::Resume(entry) => assert!(self.retired.remove(&entry)),
+            LinkAction::Retire(entry) => assert!(self.retired.insert(entry)),
+            LinkAction::Resume(entry) => assert!(self.retired.remove(&entry)),
         }
     }
 
@@ -86,7 +86,7 @@
         if let Some(serial) = self.linked.remove(&at) {
             self.dialled.insert(at);
             self.retired.remove(&process(at));
-            self.roster.down(serial, self.now);
+            self.roster.link_closed(serial, self.now);
         }
     }
 }
@@ -97,9 +97,9 @@
 
 #[test]
 fn an_agent_links_to_all_entries_of_a_small_system() {
-    let mut world = World::new("agent-1", LINKS);
+    let mut world = World::new("agent-1", LINKS_PER_AGENT);
     world.pass(1_000);
-    assert_eq!(world.linked.len(), LINKS);
+    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
 }
 
 // A system had grown to 300 VMs. Each agent was linked to each entry, and an entry had no
@@ -108,7 +108,7 @@
 fn an_agent_links_to_a_few_entries_of_a_large_system() {
     let mut world = World::new("agent-1", 64);
     world.pass(20_000);
-    assert_eq!(world.linked.len(), LINKS);
+    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
     assert!(world.dialled.is_empty());
 }
 
@@ -137,7 +137,7 @@
     let first = *world.linked.keys().next().unwrap();
     world.end(first);
     world.pass(2_000);
-    assert_eq!(world.linked.len(), LINKS);
+    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
 }
 
 // An entry was away for a minute. All agents had found others in its place, and when it was
@@ -153,7 +153,11 @@
     world.pass(1_000);
     assert!(world.linked.contains_key(&first));
     world.pass(20_000);
-    assert_eq!(world.linked.len(), LINKS, "the one in its place is dropped");
+    assert_eq!(
+        world.linked.len(),
+        LINKS_PER_AGENT,
+        "the one in its place is dropped"
+    );
 }
 
 // The same at an entry that is added.
@@ -163,7 +167,7 @@
     for number in 0..240 {
         let mut world = World::new(&format!("agent-{number}"), 63);
         world.pass(1_000);
-        world.roster.tell(address(63), false);
+        world.roster.add(address(63), false);
         world.pass(1_000);
         linked += usize::from(world.linked.contains_key(&address(63)));
     }
@@ -203,7 +207,7 @@
     world.pass(2_000);
     world.down.remove(&first);
     world.pass(5_000);
-    assert_eq!(world.linked.len(), LINKS + 1);
+    assert_eq!(world.linked.len(), LINKS_PER_AGENT + 1);
     assert!(world.retired.is_empty());
 }
 
@@ -220,7 +224,7 @@
     world.end(all[1]);
     world.pass(1_300);
     assert!(world.retired.is_empty());
-    assert_eq!(world.linked.len(), LINKS);
+    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
 }
 
 #[test]
@@ -231,7 +235,7 @@
     assert!(world.dialled.len() <= 50, "{}", world.dialled.len());
     world.down.clear();
     world.pass(1_000);
-    assert!(world.linked.len() >= LINKS);
+    assert!(world.linked.len() >= LINKS_PER_AGENT);
 }
 
 #[test]
@@ -240,12 +244,12 @@
     world.down.insert(address(0));
     world.pass(1_000);
     assert_eq!(
-        world.roster.forget(address(0)),
-        Some(Step::Drop(address(0)))
+        world.roster.remove(address(0)),
+        Some(LinkAction::Drop(address(0)))
     );
-    assert_eq!(world.roster.forget(address(1)), None);
-    assert!(world.roster.tell(address(0), false), "it is news again");
-    assert!(!world.roster.tell(address(1), false));
+    assert_eq!(world.roster.remove(address(1)), None);
+    assert!(world.roster.add(address(0), false), "it is news again");
+    assert!(!world.roster.add(address(1), false));
 }
 
 // A dial was given up just as its link opened. The agent took the link for its own; when it
@@ -254,13 +258,13 @@
 fn a_link_that_opens_after_its_dial_was_given_up_counts_for_nothing() {
     let mut roster = Roster::new("agent-1");
     let at = address(1);
-    roster.tell(at, false);
-    assert_eq!(roster.poll(ms(0), |_| false), [Step::Dial(at)]);
-    assert_eq!(roster.forget(at), Some(Step::Drop(at)));
-    roster.tell(at, false);
-    roster.up(at, process(at), 1);
-    roster.down(1, ms(10));
-    assert_eq!(roster.poll(ms(20), |_| false), [Step::Dial(at)]);
+    roster.add(at, false);
+    assert_eq!(roster.poll(ms(0), |_| false), [LinkAction::Dial(at)]);
+    assert_eq!(roster.remove(at), Some(LinkAction::Drop(at)));
+    roster.add(at, false);
+    roster.link_opened(at, process(at), 1);
+    roster.link_closed(1, ms(10));
+    assert_eq!(roster.poll(ms(20), |_| false), [LinkAction::Dial(at)]);
 }
 
 /// The agents of five data centres, and their links to entries of which each data centre has so
@@ -272,7 +276,7 @@
         let home = number % 5;
         let mut world = World::new(&format!("agent-{number}"), 0);
         for (entry, at) in places.iter().enumerate() {
-            world.roster.tell(address(entry), *at == home);
+            world.roster.add(address(entry), *at == home);
             if Some(*at) == lost {
                 world.down.insert(address(entry));
             }
@@ -293,7 +297,7 @@
 #[test]
 fn half_of_an_agents_links_stay_in_its_data_centre() {
     let (links, near, all) = link_all(200, [10, 8, 6, 7, 9], None);
-    assert_eq!(all, 200 * LINKS);
+    assert_eq!(all, 200 * LINKS_PER_AGENT);
     assert!(near * 2 >= all, "{near} of {all}");
     let mean = all / links.len();
     assert!(links.iter().all(|count| *count * 3 > mean), "{links:?}");
@@ -303,10 +307,10 @@
 #[test]
 fn agents_of_a_data_centre_without_entries_link_elsewhere() {
     let (links, _, all) = link_all(100, [10, 8, 6, 7, 9], Some(1));
-    assert_eq!(all, 100 * LINKS);
+    assert_eq!(all, 100 * LINKS_PER_AGENT);
     assert!(links[10..18].iter().all(|count| *count == 0));
     let (_, _, all) = link_all(20, [20, 0, 10, 10, 0], None);
-    assert_eq!(all, 20 * LINKS);
+    assert_eq!(all, 20 * LINKS_PER_AGENT);
 }
 
 // An entry was known by its address alone before the directory told where it is.
@@ -315,10 +319,10 @@
     let mut world = World::new("agent-1", 40);
     world.pass(500);
     for number in 30..36 {
-        world.roster.tell(address(number), true);
+        world.roster.add(address(number), true);
     }
     world.pass(12_500);
-    assert_eq!(world.linked.len(), LINKS);
+    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
     let near = (30..36).filter(|number| world.linked.contains_key(&address(*number)));
     assert_eq!(near.count(), 6);
 }
@@ -326,13 +330,13 @@
 /// The links between so many entries in three data centres, by who dials whom.
 fn mesh(entries: usize) -> Vec<BTreeSet<usize>> {
     let dials = |owner: usize| {
-        let mut roster = Roster::new(format!("entry-{owner}")).with_links(PEERS);
+        let mut roster = Roster::new(format!("entry-{owner}")).with_links(LINKS_PER_ENTRY);
         for other in (0..entries).filter(|other| *other != owner) {
-            roster.tell(address(other), other % 3 == owner % 3);
+            roster.add(address(other), other % 3 == owner % 3);
         }
         let steps = roster.poll(ms(0), |_| false);
         let dialled = steps.iter().map(|step| match step {
-            Step::Dial(at) => (0..entries).find(|other| address(*other) == *at).unwrap(),
+            LinkAction::Dial(at) => (0..entries).find(|other| address(*other) == *at).unwrap(),
             step => panic!("{step:?}"),
         });
         dialled.collect()
@@ -366,7 +370,9 @@
     for entries in [55, 183, 600] {
         let mesh = mesh(entries);
         let dialled_by = |entry: usize| mesh.iter().filter(|dials| dials.contains(&entry)).count();
-        let most = (0..entries).map(|entry| PEERS + dialled_by(entry)).max();
+        let most = (0..entries)
+            .map(|entry| LINKS_PER_ENTRY + dialled_by(entry))
+            .max();
         assert!(most <= Some(20), "{most:?} links among {entries}");
         let steps = steps_to_all(&mesh);
         assert!(steps <= 6, "{steps} steps among {entries}");
--- a/crates/cassiarock-transient/tests/scheduler/answers.rs
+++ b/crates/cassiarock-transient/tests/scheduler/answers.rs
@@ -1,7 +1,7 @@
 //! Answers say what is true.
 
 use crate::world::{World, ms};
-use cassiarock_transient::message::End;
+use cassiarock_transient::message::Outcome;
 use cassiarock_transient::scheduler::Answer;
 
 #[test]
@@ -10,7 +10,7 @@
     world.submit(1, 2, 50, 2_000);
     for task in world.placed.clone() {
         assert_eq!(world.answer(1), None);
-        world.end(task.attempt, End::Done);
+        world.end(task.attempt, Outcome::Done);
     }
     assert_eq!(world.answer(1), Some(Answer::Completed));
 }
@@ -20,7 +20,7 @@
     let mut world = World::new(2);
     world.submit(1, 1, 50, 2_000);
     let first = world.placed[0].clone();
-    world.end(first.attempt, End::Failed);
+    world.end(first.attempt, Outcome::Failed);
     assert_eq!(world.placed.len(), 1);
     assert_ne!(world.placed[0].agent, first.agent);
     assert_eq!(world.placed[0].attempt.attempt, 2);
@@ -32,12 +32,12 @@
     let mut world = World::new(2);
     world.submit(1, 2, 50, 2_000);
     let first = world.placed[0].attempt;
-    world.end(first, End::Failed);
+    world.end(first, Outcome::Failed);
     let again = world
         .placed
         .iter()
         .find(|task| task.attempt.index == first.index);
-    world.end(again.unwrap().attempt, End::Failed);
+    world.end(again.unwrap().attempt, Outcome::Failed);
     assert_eq!(world.answer(1), Some(Answer::Failed));
     assert_eq!(world.halted.len(), 1, "its other task is stopped");
 }
@@ -74,7 +74,7 @@
     world.submit(1, 1, 50, 300);
     world.tell_full();
     let task = world.placed[0].attempt;
-    world.end(task, End::Lost);
+    world.end(task, Outcome::Lost);
     world.pass_full(320);
     assert_eq!(world.answer(1), Some(Answer::GivenUp));
 }
@@ -118,7 +118,7 @@
     world.add(large.clone());
     let upstream = cassiarock_transient::message::Upstream {
         id: "u-large".into(),
-        born: None,
+        started_at: None,
         service: "s".into(),
         capacity: cassiarock_transient::Demand::new(20_000, 2_000, 0),
         labels: vec![],
--- a/crates/cassiarock-transient/tests/scheduler/ask.rs
+++ b/crates/cassiarock-transient/tests/scheduler/ask.rs
@@ -9,7 +9,7 @@
 fn asks(actions: &[Action]) -> Vec<u32> {
     let sent = actions.iter();
     let asks = sent.filter_map(|action| match action {
-        Action::Send(_, Message::EntryBeat { ask: Some(ask), .. }) => Some(ask.tasks),
+        Action::Send(_, Message::EntryHeartbeat { ask: Some(ask), .. }) => Some(ask.tasks),
         _ => None,
     });
     asks.collect()
@@ -17,12 +17,12 @@
 
 /// A heartbeat of an agent that holds room for this entry.
 fn offer(world: &World, free: Demand) -> Message {
-    Message::AgentBeat {
+    Message::AgentHeartbeat {
         clock: u64::try_from(world.now.as_millis()).unwrap(),
         load: Load {
             free,
             is_offered: true,
-            pace: 100,
+            slowdown_percent: 100,
             entries: 2,
             ..Load::default()
         },
@@ -51,7 +51,7 @@
     let mut actions = world.scheduler.message(&agent(0), message, world.now);
     actions.extend(world.scheduler.poll(world.now));
     let passed = actions.iter().any(|action| {
-        matches!(action, Action::Send(to, Message::EntryBeat { ask: None, .. }) if *to == agent(0))
+        matches!(action, Action::Send(to, Message::EntryHeartbeat { ask: None, .. }) if *to == agent(0))
     });
     assert!(passed, "{actions:?}");
 }
@@ -76,7 +76,7 @@
     let mut world = World::new(2);
     let other = Upstream {
         id: "u-other".into(),
-        born: None,
+        started_at: None,
         service: "other".into(),
         capacity: ROOM,
         labels: vec![],
@@ -91,7 +91,7 @@
     world.now += ms(100);
     actions.extend(world.scheduler.poll(world.now));
     let asked = actions.iter().any(|action| {
-        matches!(action, Action::Send(to, Message::EntryBeat { ask: Some(_), .. }) if *to == agent(1))
+        matches!(action, Action::Send(to, Message::EntryHeartbeat { ask: Some(_), .. }) if *to == agent(1))
     });
     assert!(!asked, "{actions:?}");
     assert!(!asks(&actions).is_empty());
--- a/crates/cassiarock-transient/tests/scheduler/burst.rs
+++ b/crates/cassiarock-transient/tests/scheduler/burst.rs
@@ -1,7 +1,7 @@
 //! Load over the capacity.
 
 use crate::world::{World, ms};
-use cassiarock_transient::message::End;
+use cassiarock_transient::message::Outcome;
 use cassiarock_transient::scheduler::Answer;
 
 /// What callers got of a load.
@@ -41,7 +41,7 @@
             .map(|task| task.attempt)
             .collect();
         for attempt in done {
-            world.end(attempt, End::Done);
+            world.end(attempt, Outcome::Done);
         }
         world.beat();
         world.poll();
--- a/crates/cassiarock-transient/tests/scheduler/crashes.rs
+++ b/crates/cassiarock-transient/tests/scheduler/crashes.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{ROOM, World, agent, ms};
 use cassiarock_id::Process;
-use cassiarock_transient::message::{End, Ending, Load, Message};
+use cassiarock_transient::message::{AttemptResult, Load, Message, Outcome};
 use cassiarock_transient::scheduler::Answer;
 use std::collections::BTreeSet;
 
@@ -13,18 +13,18 @@
         .drain(..)
         .partition(|task| task.agent == *agent);
     world.placed = kept;
-    let endings = lost.iter().map(|task| Ending {
+    let results = lost.iter().map(|task| AttemptResult {
         attempt: task.attempt,
-        end: End::Crashed,
+        outcome: Outcome::Crashed,
         ran: ms(10),
     });
     let message = Message::Ended {
         clock: u64::try_from(world.now.as_millis()).unwrap(),
-        endings: endings.collect(),
+        results: results.collect(),
         load: Load {
-            seen: u64::MAX,
+            last_serial: u64::MAX,
             free: ROOM,
-            pace: 100,
+            slowdown_percent: 100,
             ..Load::default()
         },
     };
@@ -73,7 +73,7 @@
     let culprit = *suspects.first().unwrap();
     for task in world.placed.clone() {
         if task.agent != victim {
-            world.end(task.attempt, End::Done);
+            world.end(task.attempt, Outcome::Done);
         }
     }
     crash(&mut world, &victim);
@@ -91,7 +91,7 @@
     crash(&mut world, &second);
     assert_eq!(world.answer(culprit), Some(Answer::Failed));
     for task in world.placed.clone() {
-        world.end(task.attempt, End::Done);
+        world.end(task.attempt, Outcome::Done);
     }
     for innocent in suspects.iter().filter(|number| **number != culprit) {
         assert_eq!(
@@ -117,7 +117,7 @@
     }
     assert_eq!(world.answer(1), None);
     for task in world.placed.clone() {
-        world.end(task.attempt, End::Done);
+        world.end(task.attempt, Outcome::Done);
     }
     assert_eq!(world.answer(1), Some(Answer::Completed));
 }
--- a/crates/cassiarock-transient/tests/scheduler/losses.rs
+++ b/crates/cassiarock-transient/tests/scheduler/losses.rs
@@ -1,7 +1,7 @@
 //! Agents that are lost, come back, or keep tasks too long.
 
 use crate::world::{DATA_CENTRE, World, agent, ms};
-use cassiarock_transient::message::End;
+use cassiarock_transient::message::Outcome;
 use cassiarock_transient::scheduler::Answer;
 use cassiarock_transient::timing::RECLAIM;
 use cassiarock_transient::{Message, evacuation};
@@ -53,7 +53,7 @@
         .iter()
         .find(|task| task.attempt.index == lost.index);
     assert_eq!(again.map(|task| task.attempt.attempt), Some(2));
-    world.end(there.attempt, End::Done);
+    world.end(there.attempt, Outcome::Done);
 }
 
 // An entry had abandoned a task while its agent's link was down, so the order to stop it was
@@ -119,7 +119,7 @@
         world.submit(number + 1, 1, 50, 2_000);
         for task in world.placed.clone() {
             drawn += usize::from(task.agent == agent(0));
-            world.end(task.attempt, End::Done);
+            world.end(task.attempt, Outcome::Done);
         }
     }
     assert_eq!(drawn, 0, "of 200 tasks");
@@ -144,9 +144,9 @@
         world.poll();
     }
     assert_eq!(world.halted, [stuck.attempt]);
-    let ending = cassiarock_transient::message::Ending {
+    let ending = cassiarock_transient::message::AttemptResult {
         attempt: stuck.attempt,
-        end: End::Stopped,
+        outcome: Outcome::Stopped,
         ran: ms(400),
     };
     world.tell_ended(&stuck.agent, ending);
@@ -162,9 +162,9 @@
     let mut world = World::new(1);
     world.submit(1, 1, 400, 5_000);
     let first = world.placed[0].attempt;
-    let refusal = cassiarock_transient::message::Ending {
+    let refusal = cassiarock_transient::message::AttemptResult {
         attempt: first,
-        end: End::Stale,
+        outcome: Outcome::Stale,
         ran: ms(0),
     };
     let agent = agent(0);
--- a/crates/cassiarock-transient/tests/scheduler/order.rs
+++ b/crates/cassiarock-transient/tests/scheduler/order.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{Placed, World, job, ms};
 use cassiarock_transient::Demand;
-use cassiarock_transient::message::End;
+use cassiarock_transient::message::Outcome;
 use cassiarock_transient::scheduler::Answer;
 
 fn numbers(placed: &[Placed]) -> Vec<u64> {
@@ -35,9 +35,9 @@
         uneven.stages.push(large);
         world.submit_job(number, uneven, 3_000);
     }
-    world.end(running[0].attempt, End::Done);
+    world.end(running[0].attempt, Outcome::Done);
     assert_eq!(numbers(&world.placed[9..]), [1], "it is open now");
-    world.end(running[1].attempt, End::Done);
+    world.end(running[1].attempt, Outcome::Done);
     assert_eq!(numbers(&world.placed[8..]), [1], "the second waits");
 }
 
@@ -50,7 +50,7 @@
     wide.stages[0].demand = Demand::new(2_000, 64, 0);
     world.submit_job(1, wide, 3_000);
     world.submit(2, 1, 400, 3_000);
-    world.end(running[0].attempt, End::Done);
+    world.end(running[0].attempt, Outcome::Done);
     assert_eq!(numbers(&world.placed[9..]), [2]);
 }
 
@@ -62,7 +62,7 @@
     let (mut world, running) = full();
     world.submit(1, 8, 100, 3_000);
     for task in &running[..7] {
-        world.end(task.attempt, End::Done);
+        world.end(task.attempt, Outcome::Done);
     }
     assert_eq!(numbers(&world.placed[3..]), [1; 7]);
     world.pass_full(100);
@@ -70,7 +70,7 @@
     for number in 2..6 {
         world.submit(number, 1, 400, 3_000);
     }
-    world.end(running[7].attempt, End::Done);
+    world.end(running[7].attempt, Outcome::Done);
     let last = world.placed.last().unwrap();
     assert_eq!(last.attempt.number, 1, "its last task goes first");
 }
@@ -84,7 +84,7 @@
     world.submit_of(2, 1, 0);
     world.submit_of(3, 1, 1);
     for task in &running[..3] {
-        world.end(task.attempt, End::Done);
+        world.end(task.attempt, Outcome::Done);
     }
     assert_eq!(numbers(&world.placed[7..]), [2, 3, 1]);
 }
@@ -96,7 +96,7 @@
     let (mut world, running) = full();
     world.submit_of(8, 1, 2);
     world.submit_of(9, 1, 0);
-    world.end(running[0].attempt, End::Done);
+    world.end(running[0].attempt, Outcome::Done);
     assert_eq!(numbers(&world.placed[9..]), [8]);
 }
 
@@ -106,7 +106,7 @@
         world.submit(number, 1, 400, 1_900 + number % 7 * 10);
         let placed = world.placed.clone();
         for task in placed.iter().filter(|task| task.attempt.number == number) {
-            world.end(task.attempt, End::Done);
+            world.end(task.attempt, Outcome::Done);
         }
     }
 }
@@ -125,7 +125,7 @@
     world.submit(1, 1, 400, 700);
     world.submit(2, 1, 400, 1_950);
     for task in &running[..2] {
-        world.end(task.attempt, End::Done);
+        world.end(task.attempt, Outcome::Done);
     }
     assert_eq!(numbers(&world.placed[8..]), [2, 1]);
 }
--- a/crates/cassiarock-transient/tests/scheduler/reserve.rs
+++ b/crates/cassiarock-transient/tests/scheduler/reserve.rs
@@ -1,7 +1,7 @@
 //! Room that is left to more urgent jobs.
 
 use crate::world::World;
-use cassiarock_transient::message::End;
+use cassiarock_transient::message::Outcome;
 
 /// Jobs of one task each of the least urgent queue, more than there is room for. None of their
 /// numbers is one of those that go by their latest start alone.
@@ -16,7 +16,7 @@
     world.submit_of(number, 1, 0);
     let task = world.placed.last().unwrap().clone();
     assert_eq!(task.attempt.number, number);
-    world.end(task.attempt, End::Done);
+    world.end(task.attempt, Outcome::Done);
 }
 
 // Front desks look up free seats and, far less urgently, have instructors assigned. In a burst
@@ -65,7 +65,7 @@
     );
     let running = world.placed.clone();
     for task in &running {
-        world.end(task.attempt, End::Done);
+        world.end(task.attempt, Outcome::Done);
     }
     urgent_job_is_done(&mut world, 2);
     flood(&mut world, 2_001);
--- a/crates/cassiarock-transient/tests/scheduler/world.rs
+++ b/crates/cassiarock-transient/tests/scheduler/world.rs
@@ -1,7 +1,7 @@
 //! An entry with agents that do as they are told.
 
 use cassiarock_id::Process;
-use cassiarock_transient::message::{Attempt, End, Ending, Load, Order, Upstream};
+use cassiarock_transient::message::{Attempt, AttemptResult, Load, Order, Outcome, Upstream};
 use cassiarock_transient::scheduler::{Action, Answer};
 use cassiarock_transient::{Class, Demand, Job, Message, Scheduler, Stage};
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
         self.scheduler.link(&agent, &DATA_CENTRE.into(), self.now);
         let upstream = Upstream {
             id: format!("u-{}", agent.name).into(),
-            born: None,
+            started_at: None,
             service: "s".into(),
             capacity: ROOM,
             labels: vec![],
@@ -96,7 +96,7 @@
     /// A heartbeat of one agent, with so much room besides what this entry has placed.
     pub fn beat_of(&mut self, agent: &Process, room: Demand) {
         let load = self.load(agent, room);
-        let message = Message::AgentBeat {
+        let message = Message::AgentHeartbeat {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
             load,
         };
@@ -106,10 +106,10 @@
     fn load(&self, agent: &Process, room: Demand) -> Load {
         let here = self.placed.iter().filter(|task| task.agent == *agent);
         Load {
-            seen: self.seen.get(agent).copied().unwrap_or_default(),
+            last_serial: self.seen.get(agent).copied().unwrap_or_default(),
             free: here.fold(room, |free, _| free.minus(&TASK)),
-            failing: 0,
-            pace: 100,
+            failure_percent: 0,
+            slowdown_percent: 100,
             entries: 1,
             is_offered: false,
         }
@@ -158,17 +158,17 @@
     }
 
     /// An attempt ends.
-    pub fn end(&mut self, attempt: Attempt, end: End) {
+    pub fn end(&mut self, attempt: Attempt, end: Outcome) {
         let at = self.placed.iter().position(|task| task.attempt == attempt);
         let task = self.placed.remove(at.unwrap());
-        let ending = Ending {
+        let ending = AttemptResult {
             attempt,
-            end,
+            outcome: end,
             ran: self.now - task.at,
         };
         let message = Message::Ended {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
-            endings: vec![ending],
+            results: vec![ending],
             load: self.load(&task.agent, ROOM),
         };
         self.tell(&task.agent, message);
@@ -256,15 +256,15 @@
     pub fn end_full(&mut self, attempt: Attempt) {
         let at = self.placed.iter().position(|task| task.attempt == attempt);
         let task = self.placed.remove(at.unwrap());
-        let ending = Ending {
+        let ending = AttemptResult {
             attempt,
-            end: End::Full,
+            outcome: Outcome::Full,
             ran: Duration::ZERO,
         };
         self.tell_full();
         let message = Message::Ended {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
-            endings: vec![ending],
+            results: vec![ending],
             load: self.load(&task.agent, Demand::default()),
         };
         self.tell(&task.agent, message);
@@ -283,7 +283,7 @@
     /// A heartbeat of an agent whose upstream fails this share of its tasks.
     pub fn beat_with(&mut self, agent: &Process, failing: u8) {
         let load = Load {
-            failing,
+            failure_percent: failing,
             ..self.load(agent, ROOM)
         };
         self.beat_load(agent, load);
@@ -292,7 +292,7 @@
     /// A heartbeat of an agent whose upstream works at this pace.
     pub fn beat_paced(&mut self, agent: &Process, pace: u16) {
         let load = Load {
-            pace,
+            slowdown_percent: pace,
             ..self.load(agent, ROOM)
         };
         self.beat_load(agent, load);
@@ -300,15 +300,15 @@
 
     fn beat_load(&mut self, agent: &Process, load: Load) {
         let clock = u64::try_from(self.now.as_millis()).unwrap();
-        let message = Message::AgentBeat { clock, load };
+        let message = Message::AgentHeartbeat { clock, load };
         self.tell(agent, message);
     }
 
     /// An agent tells of an end of its own.
-    pub fn tell_ended(&mut self, agent: &Process, ending: Ending) {
+    pub fn tell_ended(&mut self, agent: &Process, ending: AttemptResult) {
         let message = Message::Ended {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
-            endings: vec![ending],
+            results: vec![ending],
             load: self.load(agent, ROOM),
         };
         self.tell(agent, message);
--- a/tests/platform/directory.rs
+++ b/tests/platform/directory.rs
@@ -2,7 +2,7 @@
 
 use crate::site::{DIRECTORY as TOPIC, Site};
 use cassiarock_test_support::log::Stand;
-use cassiarock_transient::roster::PEERS;
+use cassiarock_transient::roster::LINKS_PER_ENTRY;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
 use tokio::time::timeout;
@@ -126,7 +126,11 @@
     let site = Site::start_entries(ENTRIES).await;
     let all = timeout(SOON, async {
         for entry in &site.entries {
-            while entry.links().await.is_none_or(|links| links < PEERS) {
+            while entry
+                .links()
+                .await
+                .is_none_or(|links| links < LINKS_PER_ENTRY)
+            {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
--- a/tests/platform/links.rs
+++ b/tests/platform/links.rs
@@ -2,13 +2,13 @@
 
 use crate::job::{PATIENCE, Reply, completed, submit_at};
 use crate::site::{Site, body};
-use cassiarock_transient::roster::LINKS;
+use cassiarock_transient::roster::LINKS_PER_AGENT;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-const ENTRIES: usize = LINKS + 3;
+const ENTRIES: usize = LINKS_PER_AGENT + 3;
 
 const AGENTS: usize = 8;
 
@@ -23,7 +23,7 @@
         for entry in &site.entries {
             open.push(entry.open().await.unwrap_or_default());
         }
-        if open.iter().sum::<usize>() == AGENTS * LINKS && !open.contains(&0) {
+        if open.iter().sum::<usize>() == AGENTS * LINKS_PER_AGENT && !open.contains(&0) {
             return;
         }
         assert!(Instant::now() < until, "{open:?}");
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -5,7 +5,7 @@
 use crate::job::{Reply, submit_at};
 use crate::site::{Site, body};
 use cassiarock_test_support::proxy::{Direction, Fault, Scope};
-use cassiarock_transient::roster::LINKS;
+use cassiarock_transient::roster::LINKS_PER_AGENT;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -192,7 +192,7 @@
 /// Waits until each entry has its agents: in a large system, one at least.
 async fn all_linked(site: &Site, limit: Duration) {
     for entry in &site.entries {
-        if site.entries.len() <= LINKS {
+        if site.entries.len() <= LINKS_PER_AGENT {
             entry.linked(site.agents.len(), limit).await;
         } else {
             entry.linked_to_one(limit).await;
