--- a/crates/cassiarock-transient/src/decision.rs
+++ b/crates/cassiarock-transient/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a decision tells the log.
+//! Log records of decisions.
 
 use cassiarock_id::Name;
 use std::fmt;
@@ -12,20 +12,20 @@
 /// ```
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Decision {
-    /// What was decided, in one word or two.
+    /// The kind of decision, in one or two words; also a metric label.
     pub kind: &'static str,
-    /// The caller's id of the request; empty if the decision is about no single one.
+    /// The caller's id of the request; empty if the decision concerns no single request.
     pub request: Name,
-    /// The job's id.
+    /// The job's id; empty if the decision concerns no single job.
     pub job: Name,
     /// The inputs, their age or version, and the outcome.
     pub fields: Vec<(&'static str, String)>,
-    /// Whether something went wrong: such lines are the last to be dropped.
+    /// Whether something went wrong. Lines about failures are dropped last.
     pub is_failure: bool,
 }
 
 impl Decision {
-    /// A decision without inputs so far.
+    /// Creates a decision without fields.
     pub fn new(kind: &'static str, request: impl Into<Name>, job: impl Into<Name>) -> Self {
         Self {
             kind,
@@ -36,14 +36,14 @@
         }
     }
 
-    /// The same with one more input.
+    /// Adds a field.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: impl fmt::Display) -> Self {
         self.fields.push((name, value.to_string()));
         self
     }
 
-    /// The same, marked as a failure.
+    /// Marks the decision as a failure.
     #[must_use]
     pub const fn failed(mut self) -> Self {
         self.is_failure = true;
--- a/crates/cassiarock-transient/src/evacuation.rs
+++ b/crates/cassiarock-transient/src/evacuation.rs
@@ -1,34 +1,34 @@
-//! Which data centres operators are emptying.
+//! The data centres that operators are evacuating.
 //!
-//! The orders are records on the operators' topic, which may forget its history. So what a
-//! process knows is a state together with the offset before which all records are folded into
-//! it. Of two states the one with the higher offset is newer, whoever passes it on, and an order
-//! that is missing from the newer one has been taken back.
+//! The evacuation orders are records on the operators' topic, whose old records may be deleted.
+//! A process therefore keeps a state together with the offset up to which records are applied to
+//! it. Of two states the one with the higher offset is newer, whoever sent it, and an order that
+//! is missing from the newer one has been revoked.
 
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What is known of operators' orders.
+/// The evacuation orders in force at an offset of the operators' topic.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct State {
-    /// Records before this offset are folded in; 0 if nothing is known.
+    /// Records before this offset are applied; 0 if nothing is known.
     next: u64,
-    /// The data centres that are to be empty.
+    /// The data centres under evacuation.
     data_centres: BTreeSet<Name>,
 }
 
-/// What a newer state changes.
+/// The difference between a state and a newer one.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Change {
-    /// Data centres that are to be emptied from now on.
+    /// Data centres whose evacuation has begun.
     pub begun: Vec<Name>,
-    /// Data centres that may be used again.
+    /// Data centres whose evacuation has ended, so that they may be used again.
     pub ended: Vec<Name>,
 }
 
 impl State {
-    /// The state before the offset `next`.
+    /// Creates the state that results from all records before the offset `next`.
     ///
     /// ```
     /// use cassiarock_transient::evacuation::State;
@@ -43,24 +43,24 @@
         }
     }
 
-    /// Whether the data centre is to be empty.
+    /// Whether the data centre is under evacuation.
     #[must_use]
     pub fn contains(&self, data_centre: &str) -> bool {
         self.data_centres.contains(data_centre)
     }
 
-    /// The data centres that are to be empty.
+    /// The data centres under evacuation.
     pub fn data_centres(&self) -> impl Iterator<Item = &Name> {
         self.data_centres.iter()
     }
 
-    /// The offset before which records are folded in.
+    /// The offset of the first record that is not applied.
     #[must_use]
     pub const fn next_offset(&self) -> u64 {
         self.next
     }
 
-    /// Folds the record at `offset` in; one that is folded in already changes nothing.
+    /// Applies the record at `offset`. A record that is already applied changes nothing.
     ///
     /// ```
     /// use cassiarock_transient::evacuation::State;
@@ -81,11 +81,11 @@
         }
     }
 
-    /// Takes `other` if it is newer, and gives what that changes.
+    /// Replaces this state by `other` if that is newer, and returns the difference.
     ///
-    /// It guards against orders that come back: a process that the store turns away passes on
-    /// what it knew seconds ago, and a data centre that was taken back would be left empty, or
-    /// one that has just been given up used again.
+    /// An older state is ignored so that it cannot undo newer orders: a process that the store
+    /// rejects passes on what it knew seconds ago, and a data centre whose evacuation was revoked
+    /// would stay empty, or one whose evacuation has just begun would be used again.
     pub fn adopt(&mut self, other: &Self) -> Option<Change> {
         if other.next <= self.next {
             return None;
@@ -102,7 +102,7 @@
 }
 
 impl Change {
-    /// Whether nothing changes but the offset.
+    /// Whether only the offset differs.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.begun.is_empty() && self.ended.is_empty()
--- a/crates/cassiarock-transient/src/job.rs
+++ b/crates/cassiarock-transient/src/job.rs
@@ -1,43 +1,43 @@
-//! A transient job as its caller hands it in.
+//! Transient jobs as callers submit them.
 
 use crate::Resources;
 use cassiarock_id::Name;
 use std::time::Duration;
 
-/// Tasks that are alike. A job's stages run when those that they wait for are done.
+/// Identical tasks of a job. A stage starts when the stages it depends on are done.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Stage {
-    /// How many tasks.
+    /// The number of tasks.
     pub task_count: u32,
-    /// What each takes.
+    /// The resources that each task takes.
     pub demand: Resources,
     /// The caller's rough estimate of a task's duration; off by 40% and more.
     pub estimate: Duration,
-    /// The stages, by their place in the job, whose tasks must all be done first.
+    /// The stages, by their index in the job, whose tasks must all be done first.
     pub dependencies: Vec<usize>,
     /// A label that the upstream must have.
     pub label: Option<Name>,
-    /// The rack where the data lies: the tasks run longer on others.
+    /// The rack that holds the data. Tasks run longer on other racks.
     pub rack: Option<Name>,
     /// At most this many tasks of the stage at a time on one upstream.
     pub max_per_upstream: Option<u32>,
 }
 
-/// A job: all its tasks have to be done.
+/// A job. It is complete when all its tasks are done.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Job {
-    /// The caller's id of the job. It comes again when the job is submitted again.
+    /// The caller's id of the job. A resubmission has the same id.
     pub id: Name,
     /// The caller's id of this request, for the logs.
     pub request: Name,
-    /// What the tasks are told.
+    /// The specification that is passed to the tasks.
     pub spec: Name,
-    /// Its stages.
+    /// The stages.
     pub stages: Vec<Stage>,
 }
 
 impl Job {
-    /// The longest chain of stages by the caller's estimates.
+    /// The duration of the longest chain of dependent stages by the caller's estimates.
     ///
     /// ```
     /// use cassiarock_transient::{Job, Stage};
@@ -55,38 +55,35 @@
     pub fn critical_path(&self) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.stages.len());
         for stage in &self.stages {
-            let before = stage
-                .dependencies
-                .iter()
-                .filter_map(|at| ends.get(*at))
-                .max();
-            ends.push(before.copied().unwrap_or_default() + stage.estimate);
+            let dependencies = stage.dependencies.iter();
+            let start = dependencies.filter_map(|index| ends.get(*index)).max();
+            ends.push(start.copied().unwrap_or_default() + stage.estimate);
         }
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// How many tasks it has.
+    /// The number of tasks in all stages.
     #[must_use]
     pub fn task_count(&self) -> u32 {
         self.stages.iter().map(|stage| stage.task_count).sum()
     }
 }
 
-/// How jobs of one route are to be treated: from the configuration in force.
+/// How jobs of one route are scheduled, as the configuration in force says.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobClass {
     /// The route's name.
     pub route: Name,
-    /// The pool of upstreams that may run its tasks.
+    /// The pool of upstreams that may run the tasks.
     pub service: Name,
-    /// How urgent its jobs are; 0 goes first.
+    /// The priority of the jobs; 0 goes first.
     pub priority: u32,
-    /// How often a task may fail before its job has failed.
+    /// The number of failures of one task with which its job has failed.
     pub max_attempts: u32,
-    /// A job is on time up to this many times its longest chain of work, ...
+    /// A job is on time if it takes at most this many times its critical path, ...
     pub slack_factor: f64,
-    /// ... and this much more.
+    /// ... plus this duration.
     pub target_latency: Duration,
-    /// The version of the configuration that says so.
+    /// The version of the configuration that this class comes from.
     pub version: u64,
 }
--- a/crates/cassiarock-transient/src/lag.rs
+++ b/crates/cassiarock-transient/src/lag.rs
@@ -1,40 +1,41 @@
-//! When an entry that is behind asks another one for the configuration.
+//! Decides when an entry with an old configuration asks another entry for a newer one.
 //!
-//! The load that this answers is a configuration in bulk: some 250 KB for 1,700 routes. Heartbeats
-//! tell an entry ten times a second, over each of its links, that others are ahead. One that
-//! asked each time was sent a copy for each question: on links of 2 Mbit/s the copies took
-//! several seconds, heartbeats and jobs waited behind them, and the links were taken for silent
-//! and replaced, 1,700 times in a minute among five entries. So an entry asks one other at a
-//! time, and only if the store does not bring the version itself.
+//! A configuration of 1,700 routes is some 250 KB, and heartbeats tell an entry ten times a
+//! second, over each of its links, that others have a newer one. An entry that asked at each
+//! heartbeat was sent a copy each time: on links of 2 Mbit/s the copies took several seconds and
+//! delayed heartbeats and jobs, so that the links were considered dead and replaced, 1,700 times
+//! in a minute among five entries. An entry therefore asks one other entry at a time, and only if
+//! the store does not deliver the version itself.
 
 use cassiarock_id::Process;
 use std::time::Duration;
 
-/// How long the store has to bring a version that others have already. It brings a record to
-/// all readers within some 10 ms, and 300 ms when it is slow; of the 2 s that operators allow
-/// for a change to be in force, most is left.
-const STORE: Duration = Duration::from_millis(300);
+/// How long the store has to deliver a version that others already have. It delivers a record to
+/// all readers within some 10 ms, or 300 ms when it is slow. This leaves most of the 2 s that
+/// operators allow for a change to be in force.
+const STORE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long the store has for what it is sending: 250 KB take a second of a link of 2 Mbit/s.
-/// Connections go silent in the middle of an answer, and that is not known for longer than
-/// operators allow.
-const SENDING: Duration = Duration::from_secs(1);
+/// How long the store has for a version that it is sending: 250 KB take a second on a link of
+/// 2 Mbit/s. Connections may go silent in the middle of a response, which is detected later than
+/// operators allow for.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an asked entry has for the whole copy, some 40 KB packed: a sixth of a second of a
-/// link of 2 Mbit/s, which carries jobs as well, and several entries may ask at once.
-const COPY: Duration = Duration::from_secs(1);
+/// How long an asked entry has to send its copy. The copy is some 40 KB compressed, which takes a
+/// sixth of a second on a link of 2 Mbit/s. The link carries jobs as well, and several entries
+/// may ask at once.
+const COPY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How far an entry is behind the others, and whom it has asked.
+/// Tracks whether other entries have a newer configuration, and which of them was asked for it.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationLag {
-    /// Since when others have been known to be ahead.
+    /// When another entry first reported a newer version.
     since: Option<Duration>,
-    /// Who was asked, and when.
+    /// The entry that was asked last, and when.
     asked: Option<(Process, Duration)>,
 }
 
 impl ConfigurationLag {
-    /// An entry that is not behind.
+    /// Creates the state of an entry that is up to date.
     ///
     /// ```
     /// use cassiarock_transient::lag::ConfigurationLag;
@@ -50,25 +51,33 @@
         Self::default()
     }
 
-    /// Another entry has a newer version. Answers whether to ask it for a copy now; not at once
-    /// while the store `is_sending` one.
+    /// Records that another entry has a newer version, and returns whether to ask that entry for a
+    /// copy now. The wait is longer while the store `is_sending` a version.
     pub fn should_ask(&mut self, other: &Process, is_sending: bool, now: Duration) -> bool {
         let since = *self.since.get_or_insert(now);
-        let is_asked = self.asked.as_ref().is_some_and(|(_, at)| now < *at + COPY);
-        let patience = if is_sending { SENDING } else { STORE };
-        let is_due = now >= since + patience && !is_asked;
+        let is_awaiting_copy = self
+            .asked
+            .as_ref()
+            .is_some_and(|(_, asked_at)| now < *asked_at + COPY_TIMEOUT);
+        let timeout = if is_sending {
+            TRANSFER_TIMEOUT
+        } else {
+            STORE_TIMEOUT
+        };
+        let is_due = now >= since + timeout && !is_awaiting_copy;
         if is_due {
             self.asked = Some((other.clone(), now));
         }
         is_due
     }
 
-    /// A version came, from wherever. If others are ahead still, their heartbeats say so.
+    /// Starts over after a version arrived, whatever its source. If other entries still have a
+    /// newer one, their heartbeats report it again.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// The link to another entry is gone, and what was on its way.
+    /// Stops waiting for a copy from an entry whose link was lost.
     pub fn link_lost(&mut self, other: &Process) {
         if self.asked.as_ref().is_some_and(|(asked, _)| asked == other) {
             self.asked = None;
--- a/crates/cassiarock-transient/src/resources.rs
+++ b/crates/cassiarock-transient/src/resources.rs
@@ -1,4 +1,4 @@
-//! What a task takes of an upstream, and what an upstream has.
+//! Amounts of resources: what a task needs, and what an upstream has.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,11 +6,11 @@
 ///
 /// ```
 /// use cassiarock_transient::Resources;
-/// let room = Resources::new(64_000, 131_072, 0);
+/// let free = Resources::new(64_000, 131_072, 0);
 /// let task = Resources::new(6_200, 64, 0);
-/// assert!(task.fits_in(&room));
-/// assert!(!Resources::new(65_000, 64, 0).fits_in(&room));
-/// assert_eq!(room.saturating_sub(&task).cpu, 57_800);
+/// assert!(task.fits_in(&free));
+/// assert!(!Resources::new(65_000, 64, 0).fits_in(&free));
+/// assert_eq!(free.saturating_sub(&task).cpu, 57_800);
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Resources {
@@ -18,12 +18,12 @@
     pub cpu: u64,
     /// Memory in MiB.
     pub memory: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u64,
 }
 
 impl Resources {
-    /// These amounts.
+    /// Creates an amount.
     #[must_use]
     pub const fn new(cpu: u64, memory: u64, accelerators: u64) -> Self {
         Self {
@@ -33,22 +33,22 @@
         }
     }
 
-    /// Whether all of it is there in `room`.
+    /// Whether `free` has at least this much of each resource.
     #[must_use]
-    pub const fn fits_in(&self, room: &Self) -> bool {
-        self.cpu <= room.cpu && self.memory <= room.memory && self.accelerators <= room.accelerators
+    pub const fn fits_in(&self, free: &Self) -> bool {
+        self.cpu <= free.cpu && self.memory <= free.memory && self.accelerators <= free.accelerators
     }
 
-    /// How many times `each` is there.
+    /// How many times `each` fits into this amount.
     #[must_use]
     pub fn count_of(&self, each: &Self) -> u64 {
-        let times = |room: u64, each: u64| room.checked_div(each).unwrap_or(u64::MAX);
-        times(self.cpu, each.cpu)
-            .min(times(self.memory, each.memory))
-            .min(times(self.accelerators, each.accelerators))
+        let count = |free: u64, each: u64| free.checked_div(each).unwrap_or(u64::MAX);
+        count(self.cpu, each.cpu)
+            .min(count(self.memory, each.memory))
+            .min(count(self.accelerators, each.accelerators))
     }
 
-    /// Both amounts together.
+    /// The sum of both amounts.
     #[must_use]
     pub const fn saturating_add(&self, other: &Self) -> Self {
         Self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What is left without `other`, at least nothing.
+    /// This amount less `other`, at least zero of each resource.
     #[must_use]
     pub const fn saturating_sub(&self, other: &Self) -> Self {
         Self {
--- a/crates/cassiarock-transient/src/scheduler/action.rs
+++ b/crates/cassiarock-transient/src/scheduler/action.rs
@@ -1,48 +1,48 @@
-//! What an entry does: messages, answers, lines for the log.
+//! The scheduler's output: messages, answers, log records and measurements.
 
 use crate::Decision;
 use crate::message::Message;
 use cassiarock_id::{Name, Process};
 use std::time::Duration;
 
-/// What a caller is answered.
+/// The answer to the caller of a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
     /// All tasks are done.
     Completed,
-    /// The job has failed: one of its tasks did, as often as it may.
+    /// The job has failed, because one of its tasks failed as often as it may.
     Failed,
-    /// The job was given up; tasks of it may have run.
+    /// The job was given up; some of its tasks may have run.
     GivenUp,
-    /// The caller has cancelled it.
+    /// The caller has cancelled the job.
     Cancelled,
-    /// The job was not run, and nothing of it will be.
+    /// The job was not run, and no part of it will be.
     Refused {
-        /// When the caller should come back.
+        /// How long the caller should wait before it submits again.
         retry_after: Duration,
-        /// Whether the system has too much to do, rather than no upstream at all.
+        /// Whether the cause is overload, rather than the lack of any upstream.
         is_overload: bool,
     },
 }
 
-/// What the shell is to do.
+/// An action for the caller of the scheduler to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message to an agent.
+    /// Sends a message to an agent.
     Send(Process, Message),
-    /// Answer the caller of the job with this number.
+    /// Answers the caller of the job with this number.
     Answer(u64, Answer),
-    /// A line for the log.
+    /// Logs a decision.
     Log(Decision),
-    /// How long a stage of a job of this route took.
+    /// Records a latency of a job of this route.
     Measure(Latency, Name, Duration),
 }
 
-/// A stage of a job's way, for metrics.
+/// A measured latency of a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Latency {
-    /// From its arrival until its first tasks were placed.
+    /// From the job's arrival until its first tasks were placed.
     Queue,
-    /// From its arrival until it was completed.
+    /// From the job's arrival until it was completed.
     Answer,
 }
--- a/crates/cassiarock-transient/src/scheduler/admit.rs
+++ b/crates/cassiarock-transient/src/scheduler/admit.rs
@@ -1,104 +1,116 @@
-//! Whether a job is taken in.
+//! Admission control: whether a job is admitted or refused at once.
 //!
-//! The load that this answers is a burst or the loss of upstreams: more work than there is
-//! room for. Taking all of it in would make every job late. A job is refused at once if the
-//! work that goes before it would keep it past the time up to which it is useful.
+//! In a burst, or after the loss of upstreams, there is more work than room, and admitting all of
+//! it would make every job late. A job is refused at once if the work queued before it would make
+//! it late.
 
-use super::work::{Phase, Work};
-use super::{Answer, Scheduler, told};
+use super::active_job::{ActiveJob, Phase};
+use super::{Answer, Scheduler, job_decision};
 use crate::{Decision, Resources};
 use std::time::Duration;
 
-/// The first pause that a refused caller is asked to make, and the most that chance adds to
-/// it: callers that were refused together should not come back together.
-const AGAIN: Duration = Duration::from_secs(1);
+/// The least pause that a refused caller is asked to make. A random part is added to it, so that
+/// callers that were refused together do not come back together.
+const BASE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A process that has just started knows no agent yet; they are there within 300 ms. When all
-/// processes start at once, callers have waited for them, and would all be refused.
-const START: Duration = Duration::from_secs(1);
+/// How long after its start a process admits jobs without knowing an agent for them. Agents are
+/// linked within 300 ms. When all processes start at once, callers have waited for them, and would
+/// all be refused.
+const STARTUP_GRACE: Duration = Duration::from_secs(1);
 
-/// Without any upstream for a job, one is expected back within this time.
-const AGAIN_EMPTY: Duration = Duration::from_secs(2);
+/// The least pause for a caller whose job no present upstream can run. One is expected back within
+/// this time.
+const RETRY_AFTER_NO_UPSTREAM: Duration = Duration::from_secs(2);
 
 impl Scheduler {
-    /// The answer of a refusal and its line, or the line of an admission.
-    pub(super) fn admit(&self, work: &Work, now: Duration) -> Result<Decision, (Answer, Decision)> {
-        let service = &work.class.service;
+    /// Decides whether to admit a job. An error holds the answer to the caller.
+    pub(super) fn admit(
+        &self,
+        active: &ActiveJob,
+        now: Duration,
+    ) -> Result<Decision, (Answer, Decision)> {
+        let service = &active.class.service;
         let open: Vec<_> = self
             .agents
             .values()
             .filter(|agent| agent.is_open(now) && agent.serves(service))
             .collect();
-        let line = |what| told(what, work, now).with("upstreams", open.len());
-        let dialling = || Ok(line("admitted").with("reason", "agents are still dialling"));
-        if open.is_empty() && now < START {
-            return dialling();
+        let decision = |kind| job_decision(kind, active, now).with("upstreams", open.len());
+        let admit_at_startup =
+            || Ok(decision("admitted").with("reason", "agents are still dialling"));
+        if open.is_empty() && now < STARTUP_GRACE {
+            return admit_at_startup();
         }
         if open.is_empty() {
-            return Err(self.without(line("refused").with("reason", "no upstream")));
+            let decision = decision("refused").with("reason", "no upstream");
+            return Err(self.refused_without_upstream(decision));
         }
         let fits = |demand: &Resources| open.iter().any(|agent| demand.fits_in(&agent.capacity()));
-        if let Some(stage) = work.job.stages.iter().find(|stage| !fits(&stage.demand)) {
-            let inputs = |line: Decision| {
-                line.with("cpu", stage.demand.cpu)
+        if let Some(stage) = active.job.stages.iter().find(|stage| !fits(&stage.demand)) {
+            let with_demand = |decision: Decision| {
+                decision
+                    .with("cpu", stage.demand.cpu)
                     .with("memory", stage.demand.memory)
             };
-            if now < START {
-                return dialling();
+            if now < STARTUP_GRACE {
+                return admit_at_startup();
             }
-            if self.kinds.fit(service, &stage.demand) {
-                let line = line("refused").with("reason", "the upstreams that it fits are away");
-                return Err(self.without(inputs(line)));
+            if self.upstream_kinds.has_room_for(service, &stage.demand) {
+                let decision =
+                    decision("refused").with("reason", "the upstreams that it fits are away");
+                return Err(self.refused_without_upstream(with_demand(decision)));
             }
-            return Err((Answer::Failed, inputs(line("impossible"))));
+            return Err((Answer::Failed, with_demand(decision("impossible"))));
         }
-        let room: u64 = open.iter().map(|agent| agent.free().cpu).sum();
-        let before = self.work_before(work);
-        let wait = if before.0 + cpu(work) <= room {
+        let free_cpu: u64 = open.iter().map(|agent| agent.free().cpu).sum();
+        let (queued_cpu, queued_core_millis) = self.queued_before(active);
+        let wait = if queued_cpu + total_cpu(active) <= free_cpu {
             Duration::ZERO
         } else {
             let capacity: u64 = open.iter().map(|agent| agent.capacity().cpu).sum();
             let entries = open.iter().map(|agent| agent.load.entries).max();
             let share = capacity as f64 / 1000.0 / f64::from(entries.unwrap_or(1).max(1));
-            // At the onset of a burst little has been placed, so that the rate to come is an
-            // even part of the system at least.
-            let rate = self.rate.at(now).max(share).max(1.0);
-            Duration::from_secs_f64(before.1 / rate / 1000.0)
+            // At the onset of a burst little has been placed yet. The rate to come is at least an
+            // equal share of the system.
+            let rate = self.placement_rate.cores(now).max(share).max(1.0);
+            Duration::from_secs_f64(queued_core_millis / rate / 1000.0)
         };
-        let end = now + wait + work.chain;
-        let line = |what| {
-            line(what)
+        let expected_end = now + wait + active.critical_path;
+        let decision = |kind| {
+            decision(kind)
                 .with("wait_ms", wait.as_millis())
-                .with("chain_ms", work.chain.as_millis())
+                .with("chain_ms", active.critical_path.as_millis())
                 .with("queue", self.queue.len())
-                .with("free_cpu", room)
-                .with("version", work.class.version)
+                .with("free_cpu", free_cpu)
+                .with("version", active.class.version)
         };
-        if end > work.due && self.mechanisms.admission {
-            let answer = self.refused(AGAIN + wait, true);
-            return Err((answer, line("refused").with("reason", "queue")));
+        if expected_end > active.on_time_until && self.mechanisms.admission {
+            let answer = self.refusal(BASE_RETRY_AFTER + wait, true);
+            return Err((answer, decision("refused").with("reason", "queue")));
         }
-        Ok(line("admitted"))
+        Ok(decision("admitted"))
     }
 
-    /// The processor room that waiting tasks want that go before `work`, and their work in
+    /// The demand of the waiting tasks queued before `active`: in thousandths of a core, and in
     /// core-milliseconds.
-    fn work_before(&self, work: &Work) -> (u64, f64) {
-        let before = self.queue.range(..work.rank());
-        let before = before.filter_map(|rank| self.works.get(&rank.number));
-        before.fold((0, 0.0), |(room, work), next| {
-            (room + waiting_cpu(next), work + next.waiting_work())
+    fn queued_before(&self, active: &ActiveJob) -> (u64, f64) {
+        let before = self.queue.range(..active.rank());
+        let before = before.filter_map(|rank| self.jobs.get(&rank.number));
+        before.fold((0, 0.0), |(cpu, core_millis), job| {
+            let core_millis = core_millis + job.waiting_core_millis();
+            (cpu + waiting_cpu(job), core_millis)
         })
     }
 
-    /// A refusal for want of any upstream that could run the job.
-    fn without(&self, line: Decision) -> (Answer, Decision) {
-        (self.refused(AGAIN_EMPTY, false), line.failed())
+    /// A refusal because no present upstream can run the job.
+    fn refused_without_upstream(&self, decision: Decision) -> (Answer, Decision) {
+        let answer = self.refusal(RETRY_AFTER_NO_UPSTREAM, false);
+        (answer, decision.failed())
     }
 
-    /// A refusal. The pause is spread over half as much again.
-    pub(super) fn refused(&self, retry_after: Duration, is_overload: bool) -> Answer {
-        let spread = retry_after.mul_f64(self.chance.below(0.5));
+    /// A refusal. A random part of up to a half is added to the pause.
+    pub(super) fn refusal(&self, retry_after: Duration, is_overload: bool) -> Answer {
+        let spread = retry_after.mul_f64(self.random.below(0.5));
         Answer::Refused {
             retry_after: retry_after + spread,
             is_overload,
@@ -106,8 +118,9 @@
     }
 }
 
-fn waiting_cpu(next: &Work) -> u64 {
-    let stages = next.job.stages.iter().zip(&next.tasks);
+/// The processor demand of the tasks that wait, in thousandths of a core.
+fn waiting_cpu(active: &ActiveJob) -> u64 {
+    let stages = active.job.stages.iter().zip(&active.tasks);
     stages
         .map(|(stage, tasks)| {
             let waiting = tasks.iter();
@@ -117,8 +130,9 @@
         .sum()
 }
 
-fn cpu(work: &Work) -> u64 {
-    let stages = work.job.stages.iter();
+/// The processor demand of all tasks, in thousandths of a core.
+fn total_cpu(active: &ActiveJob) -> u64 {
+    let stages = active.job.stages.iter();
     stages
         .map(|stage| u64::from(stage.task_count) * stage.demand.cpu)
         .sum()
--- a/crates/cassiarock-transient/src/scheduler/agent.rs
+++ b/crates/cassiarock-transient/src/scheduler/agent.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of an agent and its upstream.
+//! An entry's view of an agent and its upstream.
 
 use crate::Resources;
 use crate::message::{Load, Upstream};
@@ -7,32 +7,33 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The entry's view of one life of an agent.
+/// The entry's view of one process of an agent.
 #[derive(Clone, Debug)]
 pub(super) struct Agent {
     pub(super) upstream: Option<Upstream>,
     pub(super) load: Load,
     pub(super) is_linked: bool,
     pub(super) data_centre: Name,
-    /// Whether operators are emptying its data centre.
+    /// Whether operators are evacuating its data centre.
     pub(super) is_evacuated: bool,
-    /// When the last message came.
-    pub(super) heard: Duration,
+    /// When the last message arrived.
+    pub(super) last_heard: Duration,
     /// The agent's own clock in milliseconds, from its last heartbeat.
     pub(super) clock: u64,
-    /// The number of the last orders sent.
+    /// The serial number of the last orders sent.
     pub(super) serial: u64,
-    /// What was ordered and may not be counted in the load yet.
-    sent: VecDeque<(u64, Resources)>,
-    /// Tasks placed there that have not ended.
+    /// The demands of ordered tasks that the reported load may not include yet, with the serial
+    /// numbers of their orders.
+    unacknowledged: VecDeque<(u64, Resources)>,
+    /// The number of tasks placed there that have not ended.
     pub(super) placed: usize,
-    /// Whether it is kept out of placing for what its latest tasks showed.
+    /// Whether it gets no tasks because too many of its recent tasks failed.
     pub(super) is_ejected: bool,
-    /// Whether it holds room for this entry for a moment.
+    /// Whether it holds room for this entry for a short time.
     pub(super) is_offered: bool,
-    /// When it was last sent its own clock.
-    pub(super) echoed: Duration,
-    /// Room for new tasks: as told, less what is on its way.
+    /// When its clock was last echoed to it.
+    pub(super) last_echo: Duration,
+    /// The reported free room less the unacknowledged orders.
     free: Resources,
 }
 
@@ -44,79 +45,80 @@
             is_linked: true,
             data_centre,
             is_evacuated: false,
-            heard: now,
+            last_heard: now,
             clock: 0,
             serial: 0,
-            sent: VecDeque::new(),
+            unacknowledged: VecDeque::new(),
             placed: 0,
             is_ejected: false,
             is_offered: false,
-            echoed: Duration::ZERO,
+            last_echo: Duration::ZERO,
             free: Resources::default(),
         }
     }
 
-    /// A new link: numbers of orders begin anew.
+    /// Resets what belongs to a link when a new one opens. Serial numbers of orders start over.
     pub(super) fn link(&mut self, now: Duration) {
         self.is_linked = true;
-        self.heard = now;
+        self.last_heard = now;
         self.serial = 0;
-        self.sent.clear();
+        self.unacknowledged.clear();
         self.load = Load::default();
         self.free = Resources::default();
     }
 
+    /// Takes over a reported load.
     pub(super) fn update(&mut self, load: Load) {
         self.load = load;
         self.is_offered = load.is_offered;
         while self
-            .sent
+            .unacknowledged
             .front()
             .is_some_and(|(serial, _)| *serial <= load.seen)
         {
-            self.sent.pop_front();
+            self.unacknowledged.pop_front();
         }
-        let sent = self.sent.iter();
-        self.free = sent.fold(load.free, |free, (_, demand)| free.saturating_sub(demand));
+        let pending = self.unacknowledged.iter();
+        self.free = pending.fold(load.free, |free, (_, demand)| free.saturating_sub(demand));
     }
 
-    /// Tasks of this demand go into the next orders.
-    pub(super) fn order(&mut self, demand: Resources) {
-        self.sent.push_back((self.serial + 1, demand));
+    /// Counts a task that goes into the next orders.
+    pub(super) fn add_order(&mut self, demand: Resources) {
+        self.unacknowledged.push_back((self.serial + 1, demand));
         self.free = self.free.saturating_sub(&demand);
         self.placed += 1;
     }
 
-    /// The next orders go out.
-    pub(super) const fn send(&mut self, now: Duration) -> u64 {
+    /// The serial number of the orders that are sent now. Orders also echo the agent's clock.
+    pub(super) const fn next_serial(&mut self, now: Duration) -> u64 {
         self.serial += 1;
-        self.echoed = now;
+        self.last_echo = now;
         self.serial
     }
 
-    /// Room for new tasks: as told, less what is on its way.
+    /// The room for new tasks: the reported free room less the unacknowledged orders.
     pub(super) const fn free(&self) -> &Resources {
         &self.free
     }
 
-    /// Whether tasks may be placed there at all.
+    /// Whether the agent accepts tasks, whatever room it has.
     pub(super) fn is_open(&self, now: Duration) -> bool {
         self.is_linked
             && !self.is_evacuated
             && self.clock > 0
-            && now.saturating_sub(self.heard) < QUIET_TIMEOUT
+            && now.saturating_sub(self.last_heard) < QUIET_TIMEOUT
             && self
                 .upstream
                 .as_ref()
                 .is_some_and(|upstream| !upstream.is_leaving)
     }
 
-    /// Whether its tasks must have ended: it has not been heard for too long.
+    /// Whether the agent has been silent for so long that its tasks must have ended.
     pub(super) fn is_lost(&self, now: Duration) -> bool {
-        now.saturating_sub(self.heard) >= RECLAIM_DELAY
+        now.saturating_sub(self.last_heard) >= RECLAIM_DELAY
     }
 
-    /// How long its tasks run in terms of the median upstream.
+    /// How long its tasks run relative to the median upstream.
     pub(super) fn pace(&self, median: f64) -> f64 {
         f64::from(self.load.pace.max(1)) / median.max(1.0)
     }
--- a/crates/cassiarock-transient/src/scheduler/ask.rs
+++ b/crates/cassiarock-transient/src/scheduler/ask.rs
@@ -1,93 +1,93 @@
 //! Asking agents for room.
 //!
-//! The load that this answers is a nearly full system with several entries: an agent that knows
-//! what each waits for offers the room that it frees to the most urgent one.
+//! In a nearly full system with several entries, an agent that knows what each entry waits for
+//! offers the room that becomes free to the most urgent job.
 
+use super::active_job::{ActiveJob, Phase};
 use super::agent::Agent;
 use super::choose::is_eligible;
-use super::work::{Phase, Work};
 use super::{Action, Scheduler};
 use crate::message::Ask;
 use cassiarock_id::Process;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The most agents that are asked at once. Each ask is a frame; an agent frees room for a task
+/// The most agents that are asked at once. Each ask is a frame, and an agent frees room for a task
 /// some fifty times a second.
-const MOST: usize = 8;
+const MAX_ASKED_AGENTS: usize = 8;
 
 /// A job that still waits asks other agents after this time.
-const AGAIN: Duration = Duration::from_millis(50);
+const ASK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The job that an entry would place next, if it had room.
+/// The job that an entry would place next if it had room.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Next<'a> {
-    work: &'a Work,
+pub(super) struct NextJob<'a> {
+    active: &'a ActiveJob,
     stage: usize,
     ask: Ask,
 }
 
-impl Next<'_> {
-    /// What an agent is asked for; nothing if it could not take the job's tasks.
+impl NextJob<'_> {
+    /// What to ask an agent for; `None` if it could not run the job's tasks.
     pub(super) fn ask_of(&self, agent: &Agent, now: Duration) -> Option<Ask> {
-        let wanted = &self.work.job.stages[self.stage];
-        is_eligible(self.work, wanted, agent, now).then_some(self.ask)
+        let stage = &self.active.job.stages[self.stage];
+        is_eligible(self.active, stage, agent, now).then_some(self.ask)
     }
 }
 
 impl Scheduler {
-    /// The job that this entry would place next, if it had room.
-    pub(super) fn next(&self, now: Duration) -> Option<Next<'_>> {
+    /// The job that this entry would place next if it had room.
+    pub(super) fn next_job(&self, now: Duration) -> Option<NextJob<'_>> {
         if !self.mechanisms.asking {
             return None;
         }
         let rank = self.queue.first()?;
-        let work = self.works.get(&rank.number)?;
-        let (stage, _) = work.waiting(now).first().copied()?;
-        let tasks = work.tasks[stage].iter();
+        let active = self.jobs.get(&rank.number)?;
+        let (stage, _) = active.ready_tasks(now).first().copied()?;
+        let tasks = active.tasks[stage].iter();
         let waiting = tasks.filter(|task| matches!(task.phase, Phase::Waiting(_)));
         let ask = Ask {
             is_late: rank.is_late,
             is_unstarted: rank.is_unstarted,
             has_waited: rank.has_waited,
             urgency: rank.urgency,
-            left: rank.latest.saturating_sub(now),
-            demand: work.job.stages[stage].demand,
+            left: rank.latest_start.saturating_sub(now),
+            demand: active.job.stages[stage].demand,
             tasks: u32::try_from(waiting.count()).unwrap_or(u32::MAX),
         };
-        Some(Next { work, stage, ask })
+        Some(NextJob { active, stage, ask })
     }
 
-    /// Asks some agents for room for the job that is first in the queue, unless they were asked
-    /// a moment ago, and passes on room that was offered and is not used. The agents in
-    /// `ordered` have heard both with their orders.
+    /// Asks some agents for room for the first job of the queue, unless agents were asked for it
+    /// within `ASK_INTERVAL`, and releases offered room that is not used. The agents in `ordered`
+    /// were told of both with their orders.
     pub(super) fn ask_for_room(
         &mut self,
         ordered: &BTreeSet<Process>,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        for process in self.unused_offers(ordered) {
+        for process in self.take_unused_offers(ordered) {
             self.echo(&process, None, now, actions);
         }
-        let Some(next) = self.next(now) else {
+        let Some(next) = self.next_job(now) else {
             return;
         };
-        let number = next.work.number;
-        let was_asked = |(job, at)| job == number && now < at + AGAIN;
-        if self.asked.is_some_and(was_asked) {
+        let number = next.active.number;
+        let is_recent = |(job, at)| job == number && now < at + ASK_INTERVAL;
+        if self.last_ask.is_some_and(is_recent) {
             return;
         }
         let ask = next.ask;
         let asked = self.agents_to_ask(next, ordered, now);
-        self.asked = Some((number, now));
+        self.last_ask = Some((number, now));
         for process in asked {
             self.echo(&process, Some(ask), now, actions);
         }
     }
 
-    /// The agents that hold room for this entry which it has not used.
-    fn unused_offers(&mut self, ordered: &BTreeSet<Process>) -> Vec<Process> {
+    /// Ends all offers of room, and returns the agents whose offers were not used.
+    fn take_unused_offers(&mut self, ordered: &BTreeSet<Process>) -> Vec<Process> {
         let mut unused = Vec::new();
         for (process, agent) in &mut self.agents {
             if std::mem::take(&mut agent.is_offered) && !ordered.contains(process) {
@@ -97,27 +97,29 @@
         unused
     }
 
-    /// One agent for each task that waits, spread evenly from one drawn by chance.
+    /// One agent for each waiting task, up to `MAX_ASKED_AGENTS`, evenly spaced from a random first.
     fn agents_to_ask(
         &self,
-        next: Next<'_>,
+        next: NextJob<'_>,
         ordered: &BTreeSet<Process>,
         now: Duration,
     ) -> Vec<Process> {
         let agents = self.agents.iter();
-        let able: Vec<&Process> = agents
+        let eligible: Vec<&Process> = agents
             .filter(|(process, agent)| {
                 next.ask_of(agent, now).is_some() && !ordered.contains(*process)
             })
             .map(|(process, _)| process)
             .collect();
-        if able.is_empty() {
+        if eligible.is_empty() {
             return Vec::new();
         }
-        let count = MOST.min(next.ask.tasks as usize).min(able.len());
-        let step = able.len() / count.max(1);
-        let start = self.chance.below(able.len() as f64) as usize;
-        let spread = (0..count).map(|nth| able[(start + nth * step) % able.len()].clone());
-        spread.collect()
+        let count = MAX_ASKED_AGENTS
+            .min(next.ask.tasks as usize)
+            .min(eligible.len());
+        let step = eligible.len() / count.max(1);
+        let start = self.random.below(eligible.len() as f64) as usize;
+        let chosen = (0..count).map(|nth| eligible[(start + nth * step) % eligible.len()].clone());
+        chosen.collect()
     }
 }
--- a/crates/cassiarock-transient/src/scheduler/eject.rs
+++ b/crates/cassiarock-transient/src/scheduler/eject.rs
@@ -1,18 +1,19 @@
-//! Which upstreams are kept out for what their latest tasks showed.
+//! Ejection of upstreams whose recent tasks failed.
 
 use super::Scheduler;
 use cassiarock_id::Process;
 
-/// An upstream with this share of failed tasks, in hundredths, is kept out: a sound one fails
-/// one in five hundred.
-const FAILING: u8 = 40;
+/// An upstream with this share of failed tasks, in hundredths, is ejected. A sound one fails one
+/// in five hundred.
+const EJECTION_THRESHOLD: u8 = 40;
 
-/// At most one upstream in three is kept out: more would lose more room than faults do.
-const EJECTED: usize = 3;
+/// At most one upstream in this many is ejected. Ejecting more would cost more room than the
+/// faults do.
+const MAX_EJECTED_DIVISOR: usize = 3;
 
 impl Scheduler {
-    /// The median pace of the upstreams; 1 hundredth at least.
-    fn median_pace(&self) -> f64 {
+    /// Computes the median pace of the upstreams, in hundredths and at least 1.
+    fn compute_median_pace(&self) -> f64 {
         let mut paces: Vec<u16> = self
             .agents
             .values()
@@ -23,23 +24,23 @@
         f64::from(paces.get(paces.len() / 2).copied().unwrap_or(100).max(1))
     }
 
-    /// Keeps out the upstreams that fail most, up to a bound. An agent forgets ends after three
-    /// seconds, so an upstream that gets no work for that long is tried anew.
-    pub(super) fn judge(&mut self) {
-        self.median = self.median_pace();
-        let bound = if self.mechanisms.ejection {
-            self.agents.len() / EJECTED
+    /// Ejects the upstreams that fail most, up to a maximum. An agent forgets how tasks ended
+    /// after three seconds, so an upstream that gets no work for that long is tried again.
+    pub(super) fn update_ejections(&mut self) {
+        self.median_pace = self.compute_median_pace();
+        let max_ejected = if self.mechanisms.ejection {
+            self.agents.len() / MAX_EJECTED_DIVISOR
         } else {
             0
         };
         let mut failing: Vec<(u8, Process)> = self
             .agents
             .iter()
-            .filter(|(_, agent)| agent.load.failing >= FAILING)
+            .filter(|(_, agent)| agent.load.failing >= EJECTION_THRESHOLD)
             .map(|(process, agent)| (agent.load.failing, process.clone()))
             .collect();
         failing.sort_by(|a, b| b.cmp(a));
-        failing.truncate(bound);
+        failing.truncate(max_ejected);
         for (process, agent) in &mut self.agents {
             agent.is_ejected = failing.iter().any(|(_, other)| other == process);
         }
--- /dev/null
+++ b/crates/cassiarock-transient/src/scheduler/endings.rs
@@ -0,0 +1,232 @@
+//! Handling of attempts that ended, and the completion and failure of jobs.
+
+use super::active_job::{ActiveJob, Phase, Task};
+use super::{Action, Answer, Latency, Scheduler, job_decision};
+use crate::message::{End, Ending};
+use cassiarock_id::Process;
+use std::time::Duration;
+
+/// The pause before placing a task again that found an earlier attempt of its own at the upstream,
+/// which needs up to 50 ms to stop that.
+const BUSY_PAUSE: Duration = Duration::from_millis(60);
+
+/// The pause before placing a task again whose order was too old when it arrived. The next
+/// heartbeat may show a better agent.
+const STALE_PAUSE: Duration = Duration::from_millis(20);
+
+/// The step of the attempt number if the upstream has seen a higher one. The higher ones are from
+/// an earlier submission of the job, which made few attempts.
+const PASSED_STEP: u32 = 8;
+
+impl Scheduler {
+    /// Handles the end of an attempt. Ends of attempts that are not current are ignored.
+    pub(super) fn handle_ending(
+        &mut self,
+        from: &Process,
+        ending: &Ending,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
+        let number = ending.attempt.number;
+        let Some(active) = self.jobs.get_mut(&number) else {
+            return;
+        };
+        if active.current_task(from, &ending.attempt).is_none() {
+            return;
+        }
+        active.has_run |= !ending.end.is_unrun();
+        let max_attempts = active.class.max_attempts.max(1);
+        let Some(task) = active.current_task(from, &ending.attempt) else {
+            return;
+        };
+        if let Some(agent) = self.agents.get_mut(from) {
+            agent.placed = agent.placed.saturating_sub(1);
+        }
+        match ending.end {
+            End::Done => self.handle_done(from, ending, now, actions),
+            End::Failed => {
+                task.failures += 1;
+                let has_failed = task.failures >= max_attempts;
+                retry(task, from, now);
+                if has_failed {
+                    let reason = "a task failed too often";
+                    self.fail(number, Answer::Failed, reason, now, actions);
+                } else {
+                    self.requeue(number);
+                }
+            }
+            End::Crashed => self.handle_crash(from, ending, now, actions),
+            end => {
+                task.refusals += u32::from(end == End::Refused && !task.crashes.is_empty());
+                place_again(task, from, end, now);
+                self.requeue(number);
+            }
+        }
+    }
+
+    /// Handles a task that was lost with its upstream.
+    fn handle_crash(
+        &mut self,
+        from: &Process,
+        ending: &Ending,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
+        let number = ending.attempt.number;
+        let is_suspect = self.crashes.record_loss(from, self.agents.len(), now);
+        if !is_suspect {
+            self.crashes.clear_common(self.jobs.values_mut());
+        }
+        let Some(active) = self.jobs.get_mut(&number) else {
+            return;
+        };
+        let id = active.job.id.clone();
+        let mut decision = job_decision("upstream lost", active, now)
+            .with("agent", from)
+            .with("stage", ending.attempt.stage)
+            .with("index", ending.attempt.index)
+            .with("ran_ms", ending.ran.as_millis())
+            .with("lost_together", !is_suspect);
+        if let Some(task) = active.current_task(from, &ending.attempt) {
+            place_again(task, from, ending.end, now);
+            if is_suspect && self.mechanisms.suspicion {
+                task.refusals = 0;
+                self.crashes.add(&id, &ending.attempt, task, from, now);
+            }
+            decision = decision.with("crashes", task.crashes.len());
+        }
+        actions.push(Action::Log(decision.failed()));
+        match active.crashed_agents() {
+            Some(_) => {
+                let reason = "a task of it crashes upstreams";
+                self.fail(number, Answer::Failed, reason, now, actions);
+            }
+            None => self.requeue(number),
+        }
+    }
+
+    /// Handles a task that is done: learns from its run time, and completes the job or queues the
+    /// tasks that depend on it.
+    fn handle_done(
+        &mut self,
+        from: &Process,
+        ending: &Ending,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
+        let agent = self.agents.get(from);
+        // The agent is known, since it has just reported the end.
+        let pace = agent.map_or(1.0, |agent| agent.pace(self.median_pace));
+        let Some(active) = self.jobs.get_mut(&ending.attempt.number) else {
+            return;
+        };
+        let stage = ending.attempt.stage as usize;
+        if let Some(task) = active.current_task(from, &ending.attempt) {
+            task.phase = Phase::Done;
+            active.tasks_left = active.tasks_left.saturating_sub(1);
+        }
+        let estimate = active.job.stages[stage].estimate.as_secs_f64();
+        if estimate > 0.0 {
+            let ratio = ending.ran.as_secs_f64() / pace / estimate;
+            self.run_times.observe(&active.class.route, ratio);
+        }
+        if active.tasks_left == 0 {
+            self.complete(ending.attempt.number, now, actions);
+        } else if active.has_waiting() {
+            self.enqueue(ending.attempt.number);
+        }
+    }
+
+    fn complete(&mut self, number: u64, now: Duration, actions: &mut Vec<Action>) {
+        if let Some(active) = self.remove(number) {
+            self.reserve
+                .record_outcome(active.class.priority, now <= active.on_time_until);
+            let decision = job_decision("completed", &active, now)
+                .with("on_time", now <= active.on_time_until)
+                .with("retries", active.retries);
+            actions.push(Action::Log(decision));
+            let took = now.saturating_sub(active.arrived);
+            let route = active.class.route.clone();
+            actions.push(Action::Measure(Latency::Answer, route, took));
+            actions.push(Action::Answer(number, Answer::Completed));
+        }
+    }
+
+    /// Ends a job that has started, and stops its remaining tasks.
+    pub(super) fn fail(
+        &mut self,
+        number: u64,
+        answer: Answer,
+        reason: &'static str,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(active) = self.remove(number) else {
+            return;
+        };
+        if answer == Answer::GivenUp {
+            self.reserve.record_outcome(active.class.priority, false);
+        }
+        let decision = job_decision("failed", &active, now)
+            .with("reason", reason)
+            .with("retries", active.retries)
+            .with("places", places(&active))
+            .with("crashed", active.crashed_agents().unwrap_or_default());
+        actions.push(Action::Log(decision.failed()));
+        self.halt_all(&active, actions);
+        actions.push(Action::Answer(number, answer));
+    }
+
+    /// Counts a retry and queues the job, because one of its tasks has to be placed again.
+    pub(super) fn requeue(&mut self, number: u64) {
+        if let Some(active) = self.jobs.get_mut(&number) {
+            active.retries += 1;
+        }
+        self.enqueue(number);
+    }
+
+    fn enqueue(&mut self, number: u64) {
+        if let Some(active) = self.jobs.get(&number) {
+            self.queue.insert(active.rank());
+            self.may_place = true;
+        }
+    }
+}
+
+/// The agents of the placed tasks, for a decision.
+fn places(active: &ActiveJob) -> String {
+    let placed = active.placed();
+    let agents = placed.iter().map(|(agent, _)| agent.to_string());
+    agents.collect::<Vec<_>>().join(",")
+}
+
+/// Prepares another attempt, elsewhere if possible, at a task that ran and failed.
+fn retry(task: &mut Task, from: &Process, now: Duration) {
+    task.attempt += 1;
+    add_avoided(task, from);
+    task.phase = Phase::Waiting(now);
+}
+
+/// Prepares another attempt at a task that did not run, or was aborted through no fault of its own.
+///
+/// The next attempt has a new number even if the last one never started. An agent reports its
+/// latest ends again over a new link: with the same number, an old refusal would count for the
+/// running attempt, and the task would be placed a second time beside it.
+pub(super) fn place_again(task: &mut Task, from: &Process, end: End, now: Duration) {
+    let pause = match end {
+        End::Busy => BUSY_PAUSE,
+        End::Stale => STALE_PAUSE,
+        _ => Duration::ZERO,
+    };
+    if matches!(end, End::Refused | End::Stopped | End::Lost | End::Crashed) {
+        add_avoided(task, from);
+    }
+    task.attempt += if end == End::Passed { PASSED_STEP } else { 1 };
+    task.phase = Phase::Waiting(now + pause);
+}
+
+fn add_avoided(task: &mut Task, from: &Process) {
+    if !task.avoided.contains(from) {
+        task.avoided.push(from.clone());
+    }
+}
--- a/crates/cassiarock-transient/src/scheduler/expire.rs
+++ b/crates/cassiarock-transient/src/scheduler/expire.rs
@@ -1,27 +1,26 @@
-//! Jobs that time has passed for.
+//! Jobs that have run out of time.
 //!
-//! The load that this answers is more work than room. A job that cannot be on time any more is
-//! refused at once if nothing of it has run, so that its caller hears when to come back and its
-//! room goes to one that can.
+//! Under overload, a job that cannot be on time any more is refused at once if nothing of it has
+//! run, so that its caller learns when to come back and its room goes to a job that can.
 
-use super::work::Work;
-use super::{Action, Answer, Scheduler, told};
+use super::active_job::ActiveJob;
+use super::{Action, Answer, Scheduler, job_decision};
 use std::time::Duration;
 
-/// When the caller of a job that was given up before it started should come back.
-const AGAIN: Duration = Duration::from_secs(1);
+/// The least pause for the caller of a job that was given up before it started.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Scheduler {
-    /// Gives jobs up that cannot be done in time any more, with their final answer at once.
-    pub(super) fn give_up(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Ends the jobs that cannot be done in time any more, and answers their callers.
+    pub(super) fn end_hopeless_jobs(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let hopeless: Vec<u64> = self
-            .works
+            .jobs
             .values()
-            .filter(|work| work.is_hopeless(now))
-            .map(|work| work.number)
+            .filter(|active| active.is_hopeless(now))
+            .map(|active| active.number)
             .collect();
         for number in hopeless {
-            let may_have_run = self.works.get(&number).is_some_and(Work::may_have_run);
+            let may_have_run = self.jobs.get(&number).is_some_and(ActiveJob::may_have_run);
             if may_have_run {
                 self.fail(number, Answer::GivenUp, "out of time", now, actions);
                 continue;
@@ -30,31 +29,33 @@
         }
     }
 
-    /// Sees to the jobs whose latest start has passed while they waited. There is more work
-    /// than room: one that has not run is refused at once if others wait that can still be on
-    /// time, and comes after them otherwise.
-    pub(super) fn pass_over(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Handles the jobs whose latest start passed while they waited. A job of which nothing has
+    /// run is refused if others wait that can still be on time. Any other is placed after them.
+    pub(super) fn handle_missed_starts(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if !self.mechanisms.expiry {
             return;
         }
-        let queue = self.queue.iter().take_while(|rank| !rank.is_late);
-        let passed: Vec<u64> = queue
-            .filter(|rank| rank.latest < now)
+        let on_time = self.queue.iter().take_while(|rank| !rank.is_late);
+        let missed: Vec<u64> = on_time
+            .filter(|rank| rank.latest_start < now)
             .map(|rank| rank.number)
             .filter(|number| {
-                let work = self.works.get(number);
-                work.is_none_or(|work| !(self.mechanisms.kept_rank && work.is_worth_ending(now)))
+                let keeps_rank = |active: &ActiveJob| {
+                    self.mechanisms.kept_rank && active.is_worth_finishing(now)
+                };
+                let active = self.jobs.get(number);
+                active.is_none_or(|active| !keeps_rank(active))
             })
             .collect();
-        let others = self.queue.len() - passed.len();
-        for number in passed {
-            let Some(work) = self.works.get_mut(&number) else {
+        let others = self.queue.len() - missed.len();
+        for number in missed {
+            let Some(active) = self.jobs.get_mut(&number) else {
                 continue;
             };
-            self.queue.remove(&work.rank());
-            work.is_late = true;
-            self.queue.insert(work.rank());
-            if others > 0 && !work.may_have_run() {
+            self.queue.remove(&active.rank());
+            active.is_late = true;
+            self.queue.insert(active.rank());
+            if others > 0 && !active.may_have_run() {
                 self.refuse(number, "overload", now, actions);
             }
         }
@@ -69,14 +70,15 @@
         actions: &mut Vec<Action>,
     ) {
         let queue = self.queue.len();
-        if let Some(work) = self.remove(number) {
-            self.reserve.learn(work.class.priority, false);
-            let kept_free = self.reserve.share(work.urgency(), now) * 100.0;
-            let line = told("refused", &work, now)
+        if let Some(active) = self.remove(number) {
+            self.reserve.record_outcome(active.class.priority, false);
+            let kept_free = self.reserve.share_for(active.urgency(), now) * 100.0;
+            let decision = job_decision("refused", &active, now)
                 .with("reason", reason)
-                .with("kept_free_percent", kept_free.round());
-            actions.push(Action::Log(line.with("queue", queue).failed()));
-            actions.push(Action::Answer(number, self.refused(AGAIN, true)));
+                .with("kept_free_percent", kept_free.round())
+                .with("queue", queue);
+            actions.push(Action::Log(decision.failed()));
+            actions.push(Action::Answer(number, self.refusal(RETRY_AFTER, true)));
         }
     }
 }
--- a/crates/cassiarock-transient/src/scheduler/link.rs
+++ b/crates/cassiarock-transient/src/scheduler/link.rs
@@ -1,4 +1,4 @@
-//! Links with agents: what they tell, and what they are sent.
+//! Links with agents: handling of their messages, heartbeats and orders.
 
 use super::agent::Agent;
 use super::{Action, Scheduler};
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// A link to an agent in this data centre opened.
+    /// Handles a new link to an agent in this data centre.
     pub fn link(&mut self, agent: &Process, data_centre: &Name, now: Duration) {
-        let known = self.agents.entry(agent.clone());
-        let known = known.or_insert_with(|| Agent::new(data_centre.clone(), now));
-        known.link(now);
-        known.is_evacuated = self.evacuations.contains(data_centre);
+        let agent = self.agents.entry(agent.clone());
+        let agent = agent.or_insert_with(|| Agent::new(data_centre.clone(), now));
+        agent.link(now);
+        agent.is_evacuated = self.evacuations.contains(data_centre);
     }
 
-    /// Operators have begun to empty data centres, or have taken that back.
+    /// Sets the data centres that operators are evacuating.
     ///
     /// ```
     /// use cassiarock_transient::{Scheduler, evacuation};
@@ -31,23 +31,23 @@
             agent.is_evacuated = evacuations.contains(&agent.data_centre);
         }
         self.evacuations = evacuations;
-        self.is_stirred = true;
+        self.may_place = true;
     }
 
-    /// Which data centres are left alone when tasks are placed.
+    /// The data centres that operators are evacuating. No tasks are placed there.
     #[must_use]
     pub const fn evacuations(&self) -> &evacuation::State {
         &self.evacuations
     }
 
-    /// The last link to an agent is gone.
+    /// Handles the loss of the last link to an agent.
     pub fn unlink(&mut self, agent: &Process) {
         if let Some(agent) = self.agents.get_mut(agent) {
             agent.is_linked = false;
         }
     }
 
-    /// A message of an agent.
+    /// Handles a message of an agent.
     pub fn handle_message(
         &mut self,
         from: &Process,
@@ -58,24 +58,24 @@
         let Some(agent) = self.agents.get_mut(from) else {
             return actions;
         };
-        agent.heard = now;
-        self.is_stirred = true;
+        agent.last_heard = now;
+        self.may_place = true;
         match message {
             Message::AgentBeat { clock, load } => {
                 agent.clock = agent.clock.max(clock);
                 agent.update(load);
             }
             Message::Upstream(upstream) => {
-                let told = Decision::new("upstream", "", "").with("agent", from);
-                let told = match &upstream {
-                    Some(upstream) => told
+                let decision = Decision::new("upstream", "", "").with("agent", from);
+                let decision = match &upstream {
+                    Some(upstream) => decision
                         .with("upstream", upstream.life())
                         .with("leaving", upstream.is_leaving),
-                    None => told.with("upstream", "none"),
+                    None => decision.with("upstream", "none"),
                 };
-                actions.push(Action::Log(told));
+                actions.push(Action::Log(decision));
                 if let Some(upstream) = &upstream {
-                    self.kinds.add(upstream);
+                    self.upstream_kinds.add(upstream);
                 }
                 agent.upstream = upstream;
             }
@@ -87,7 +87,7 @@
                 agent.clock = agent.clock.max(clock);
                 agent.update(load);
                 for ending in endings {
-                    self.settle(from, &ending, now, &mut actions);
+                    self.handle_ending(from, &ending, now, &mut actions);
                 }
             }
             Message::Held(held) => self.reconcile(from, &held, now, &mut actions),
@@ -104,12 +104,12 @@
         actions
     }
 
-    /// Sends each agent its own clock, unless orders have carried it lately.
+    /// Echoes each agent's clock to it, unless that was done within `HEARTBEAT_INTERVAL`.
     pub(super) fn heartbeat(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let next = self.next(now);
+        let next = self.next_job(now);
         let agents = self.agents.iter();
-        let due =
-            agents.filter(|(_, agent)| agent.is_linked && now >= agent.echoed + HEARTBEAT_INTERVAL);
+        let due = agents
+            .filter(|(_, agent)| agent.is_linked && now >= agent.last_echo + HEARTBEAT_INTERVAL);
         let due: Vec<(Process, Option<Ask>)> = due
             .map(|(process, agent)| {
                 let ask = next.and_then(|next| next.ask_of(agent, now));
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Sends an agent its own clock, and what this entry asks it for.
+    /// Sends a heartbeat, which echoes the agent's clock and may ask for room.
     pub(super) fn echo(
         &mut self,
         process: &Process,
@@ -132,7 +132,7 @@
         let Some(agent) = self.agents.get_mut(process) else {
             return;
         };
-        agent.echoed = now;
+        agent.last_echo = now;
         let message = Message::EntryBeat {
             echo: agent.clock,
             version: self.version,
@@ -141,13 +141,14 @@
         actions.push(Action::Send(process.clone(), message));
     }
 
+    /// Sends orders, which also echo the agent's clock and may ask for room.
     pub(super) fn send_orders(
         &mut self,
         orders: BTreeMap<Process, Vec<Order>>,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let next = self.next(now);
+        let next = self.next_job(now);
         let ask_of = |process| next?.ask_of(self.agents.get(process)?, now);
         let asks: Vec<Option<Ask>> = orders.keys().map(ask_of).collect();
         for ((process, orders), ask) in orders.into_iter().zip(asks) {
@@ -155,7 +156,7 @@
                 continue;
             };
             let message = Message::Orders {
-                serial: agent.send(now),
+                serial: agent.next_serial(now),
                 echo: agent.clock,
                 orders,
                 ask,
--- a/crates/cassiarock-transient/src/scheduler/lost.rs
+++ b/crates/cassiarock-transient/src/scheduler/lost.rs
@@ -1,7 +1,7 @@
-//! Agents that are lost or come back: where their tasks go.
+//! Recovery of tasks from agents that are lost or come back.
 
-use super::settle::place_again;
-use super::work::Work;
+use super::active_job::ActiveJob;
+use super::endings::place_again;
 use super::{Action, Scheduler};
 use crate::Decision;
 use crate::message::{Attempt, End, Message};
@@ -9,8 +9,9 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// An agent came back on a new link and named what it still has. What it does not name has
-    /// been lost on the way to it, or its end was told on the old link's last breath.
+    /// Compares the attempts that an agent reports on a new link with those placed there. Attempts
+    /// that it does not have are placed again: either their order was lost on the way, or the
+    /// report of their end was lost with the old link. Attempts that nobody waits for are stopped.
     pub(super) fn reconcile(
         &mut self,
         from: &Process,
@@ -18,14 +19,14 @@
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let lost = self.placed_at(from);
-        let lost: Vec<Attempt> = lost.into_iter().filter(|at| !held.contains(at)).collect();
-        self.place_elsewhere(from, &lost, "not at its agent", now, actions);
+        let placed = self.placed_at(from).into_iter();
+        let lost: Vec<Attempt> = placed.filter(|placed| !held.contains(placed)).collect();
+        self.requeue_lost(from, &lost, "not at its agent", now, actions);
         let unwanted: Vec<Attempt> = held
             .iter()
             .filter(|attempt| {
-                let work = self.works.get_mut(&attempt.number);
-                work.is_none_or(|work| work.present(from, attempt).is_none())
+                let active = self.jobs.get_mut(&attempt.number);
+                active.is_none_or(|active| active.current_task(from, attempt).is_none())
             })
             .copied()
             .collect();
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Places the tasks of lost agents elsewhere, once they must have ended there.
+    /// Queues the tasks of lost agents for another agent, once they must have ended there.
     pub(super) fn reclaim(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let lost: Vec<Process> = self
             .agents
@@ -44,7 +45,7 @@
             .collect();
         for process in lost {
             let tasks = self.placed_at(&process);
-            self.place_elsewhere(&process, &tasks, "its agent is lost", now, actions);
+            self.requeue_lost(&process, &tasks, "its agent is lost", now, actions);
             let Some(agent) = self.agents.get_mut(&process) else {
                 continue;
             };
@@ -55,16 +56,18 @@
         }
     }
 
+    /// The attempts that are placed at an agent.
     pub(super) fn placed_at(&self, agent: &Process) -> Vec<Attempt> {
-        let works = self.works.values();
-        let placed = works.flat_map(Work::placed);
+        let jobs = self.jobs.values();
+        let placed = jobs.flat_map(ActiveJob::placed);
         placed
             .filter(|(at, _)| at == agent)
             .map(|(_, attempt)| attempt)
             .collect()
     }
 
-    fn place_elsewhere(
+    /// Queues attempts that were lost at an agent to be placed again.
+    fn requeue_lost(
         &mut self,
         from: &Process,
         tasks: &[Attempt],
@@ -75,27 +78,27 @@
         if tasks.is_empty() {
             return;
         }
-        let heard = self
+        let last_heard = self
             .agents
             .get(from)
-            .map_or(Duration::ZERO, |agent| agent.heard);
+            .map_or(Duration::ZERO, |agent| agent.last_heard);
         for attempt in tasks {
-            let Some(work) = self.works.get_mut(&attempt.number) else {
+            let Some(active) = self.jobs.get_mut(&attempt.number) else {
                 continue;
             };
-            work.has_run = true;
-            if let Some(task) = work.present(from, attempt) {
+            active.has_run = true;
+            if let Some(task) = active.current_task(from, attempt) {
                 place_again(task, from, End::Lost, now);
             }
-            let line = Decision::new(
+            let decision = Decision::new(
                 "placing again",
-                work.job.request.clone(),
-                work.job.id.clone(),
+                active.job.request.clone(),
+                active.job.id.clone(),
             )
             .with("reason", reason)
             .with("agent", from)
-            .with("heard_ms_ago", now.saturating_sub(heard).as_millis());
-            actions.push(Action::Log(line.failed()));
+            .with("heard_ms_ago", now.saturating_sub(last_heard).as_millis());
+            actions.push(Action::Log(decision.failed()));
             self.requeue(attempt.number);
         }
         if let Some(agent) = self.agents.get_mut(from) {
--- a/crates/cassiarock-transient/src/scheduler/mechanisms.rs
+++ b/crates/cassiarock-transient/src/scheduler/mechanisms.rs
@@ -1,37 +1,37 @@
-//! Mechanisms that can be left out, to see what each is worth.
+//! Mechanisms of the scheduler that can be disabled to measure the effect of each.
 
-/// Which mechanisms decide. Processes run with all of them; simulations leave some out.
+/// The enabled mechanisms. Processes run with all of them; simulations disable some.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Mechanisms {
-    /// Refusing what the work before it would make late.
+    /// Refuses jobs that the jobs before them in the queue would make late.
     pub admission: bool,
-    /// Refusing what can no longer be on time, or placing it after all others.
+    /// Refuses jobs that can no longer be on time, or places them after all others.
     pub expiry: bool,
-    /// Starting one job at a time in pieces.
+    /// Allows only one job at a time to start with some of its tasks.
     pub whole_starts: bool,
-    /// Leaving a started job its rank past its latest start.
+    /// Lets a started job keep its rank after its latest start has passed.
     pub kept_rank: bool,
-    /// The operators' priority.
+    /// Orders jobs by the operators' priority.
     pub priority: bool,
-    /// Leaving room to more urgent jobs.
+    /// Reserves room for more urgent jobs.
     pub reserve: bool,
-    /// Asking agents for room that they free.
+    /// Asks agents for room that becomes free.
     pub asking: bool,
-    /// Placing callers who have waited before after others.
+    /// Places jobs of callers who have waited before after others.
     pub waited_last: bool,
-    /// Keeping out upstreams that fail.
+    /// Places nothing on upstreams whose tasks fail.
     pub ejection: bool,
-    /// Keeping tasks off slow upstreams, and moving them away.
+    /// Places no task on a slow upstream where it would be late, and moves overdue tasks away.
     pub moving: bool,
-    /// Trying a task elsewhere than where it failed.
+    /// Prefers other upstreams than those where a task has failed.
     pub avoidance: bool,
-    /// Placing tasks of one job together.
+    /// Prefers to place tasks of one job together.
     pub together: bool,
-    /// Giving up tasks that crash upstreams, and keeping suspects of it apart.
+    /// Gives up tasks that crash upstreams, and keeps suspected ones apart.
     pub suspicion: bool,
 }
 
-/// The name of a mechanism and the field that it is.
+/// The name of a mechanism and an accessor of its field.
 type Field = (&'static str, fn(&mut Mechanisms) -> &mut bool);
 
 const FIELDS: [Field; 13] = [
@@ -71,7 +71,7 @@
 }
 
 impl Mechanisms {
-    /// All mechanisms but the one with this name; none if there is no such mechanism.
+    /// All mechanisms except the one with this name; `None` if there is no such mechanism.
     ///
     /// ```
     /// use cassiarock_transient::scheduler::Mechanisms;
--- a/crates/cassiarock-transient/src/scheduler/mod.rs
+++ b/crates/cassiarock-transient/src/scheduler/mod.rs
@@ -1,103 +1,103 @@
-//! The entry's side: which jobs are taken, in which order their tasks are placed, and where.
+//! The scheduler of an entry: decides which jobs are admitted, in which order their tasks are
+//! placed, and on which agents.
 
 mod action;
+mod active_job;
 mod admit;
 mod agent;
 mod ask;
-mod chance;
 mod choose;
 mod crash;
 mod eject;
+mod endings;
 mod expire;
-mod kinds;
 mod link;
 mod lost;
 mod mechanisms;
+mod overdue;
 mod patience;
 mod place;
+mod placement_rate;
+mod random;
 mod rank;
-mod rate;
-mod ratio;
 mod reserve;
-mod settle;
-mod shift;
-mod work;
+mod run_time;
+mod upstream_kinds;
 
 use crate::message::Message;
 use crate::{Decision, Job, JobClass, evacuation};
+use active_job::ActiveJob;
 use agent::Agent;
 use cassiarock_id::{Name, Process};
-use chance::Chance;
 use crash::Crashes;
-use kinds::Kinds;
 use patience::Patience;
+use placement_rate::PlacementRate;
+use random::Random;
 use rank::Rank;
-use rate::Rate;
-use ratio::Ratios;
 use reserve::Reserve;
+use run_time::RunTimeRatios;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use work::Work;
+use upstream_kinds::UpstreamKinds;
 
 pub use action::{Action, Answer, Latency};
 pub use mechanisms::Mechanisms;
 
-/// A process that was not run for this long may hold requests whose callers have left and
-/// submitted them elsewhere. It learns of that from its sockets first.
-const FROZEN: Duration = Duration::from_millis(300);
+/// A process that was frozen for this long may hold requests whose callers have left and submitted
+/// them elsewhere. It learns of that from its sockets first.
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// How long it then places nothing: several rounds of reading all sockets.
-const THAW: Duration = Duration::from_millis(50);
+/// How long nothing is placed after a freeze: several rounds of reading all sockets.
+const PAUSE_AFTER_FREEZE: Duration = Duration::from_millis(50);
 
-/// The pause between two looks at all that depends on time alone: lost agents, jobs out of
-/// time, slow upstreams. Each costs a pass over all jobs and agents.
-const CHECK: Duration = Duration::from_millis(20);
+/// The interval between two checks for what depends on time alone: lost agents, jobs out of time,
+/// slow upstreams. Each check is a pass over all jobs and agents.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The jobs and agents of one entry.
 #[derive(Debug, Default)]
 pub struct Scheduler {
     agents: BTreeMap<Process, Agent>,
-    works: BTreeMap<u64, Work>,
-    /// Jobs with tasks that wait, the one that has to start first at the front.
+    jobs: BTreeMap<u64, ActiveJob>,
+    /// Jobs with waiting tasks, the first to be placed at the front.
     queue: BTreeSet<Rank>,
-    /// The kinds of upstream known so far.
-    kinds: Kinds,
-    /// How much work is being placed.
-    rate: Rate,
-    /// How long tasks run in terms of their estimates.
-    ratios: Ratios,
+    /// The kinds of upstream seen so far.
+    upstream_kinds: UpstreamKinds,
+    /// The rate at which work is placed.
+    placement_rate: PlacementRate,
+    /// The ratio of run times to estimates.
+    run_times: RunTimeRatios,
     /// How long callers usually wait.
     patience: Patience,
-    /// How jobs of each priority fare.
+    /// The room to keep free for more urgent jobs.
     reserve: Reserve,
-    /// When it was last polled: a gap shows a freeze.
-    polled: Duration,
+    /// When the scheduler was last polled; a gap means that the process was frozen.
+    last_poll: Duration,
     /// Until when nothing is placed after a freeze.
-    paused: Duration,
-    /// When all that depends on time alone was last looked at.
-    checked: Duration,
+    paused_until: Duration,
+    /// When the checks of what depends on time alone last ran.
+    last_check: Duration,
     /// The median of the upstreams' pace, in hundredths.
-    median: f64,
+    median_pace: f64,
     /// The version of the configuration in force.
     version: u64,
-    /// The data centres that operators are emptying.
+    /// The data centres that operators are evacuating.
     evacuations: evacuation::State,
-    /// Upstreams that were lost with what ran there.
+    /// Recent losses of upstreams, and the tasks suspected of them.
     crashes: Crashes,
-    /// Agents where tasks run that may crash upstreams.
-    suspected: BTreeSet<Process>,
-    /// Which mechanisms decide.
+    /// Agents that run tasks suspected of crashing upstreams.
+    suspect_agents: BTreeSet<Process>,
     mechanisms: Mechanisms,
-    chance: Chance,
+    random: Random,
     /// The job for which agents were last asked for room, and when.
-    asked: Option<(u64, Duration)>,
-    /// Whether something has come since the last poll that may allow tasks to be placed.
-    is_stirred: bool,
+    last_ask: Option<(u64, Duration)>,
+    /// Whether an event since the last poll may allow tasks to be placed.
+    may_place: bool,
 }
 
 impl Scheduler {
-    /// A scheduler without agents.
+    /// Creates a scheduler without agents.
     ///
     /// ```
     /// assert_eq!(cassiarock_transient::Scheduler::new().job_count(), 0);
@@ -107,43 +107,44 @@
         Self::default()
     }
 
-    /// The same with these mechanisms only.
+    /// Replaces the set of enabled mechanisms.
     #[must_use]
     pub fn with_mechanisms(self, mechanisms: Mechanisms) -> Self {
         Self { mechanisms, ..self }
     }
 
-    /// The same with chance from a seed.
+    /// Seeds the random numbers, for reproducible simulations.
     #[must_use]
     pub fn with_seed(self, seed: u64) -> Self {
         Self {
-            chance: Chance::new(seed),
+            random: Random::new(seed),
             ..self
         }
     }
 
-    /// Jobs without an answer.
+    /// The number of unanswered jobs.
     #[must_use]
     pub fn job_count(&self) -> usize {
-        self.works.len()
+        self.jobs.len()
     }
 
-    /// Jobs of which nothing has started.
+    /// The number of unanswered jobs of this route of which nothing has started.
     #[must_use]
     pub fn unstarted_job_count(&self, route: &str) -> usize {
-        let works = self.works.values();
-        let unstarted = works.filter(|work| !work.may_have_run() && &*work.class.route == route);
+        let jobs = self.jobs.values();
+        let unstarted =
+            jobs.filter(|active| !active.may_have_run() && &*active.class.route == route);
         unstarted.count()
     }
 
-    /// Agents that can be given tasks.
+    /// The number of agents that accept tasks.
     #[must_use]
     pub fn open_agent_count(&self, now: Duration) -> usize {
         let agents = self.agents.values();
         agents.filter(|agent| agent.is_open(now)).count()
     }
 
-    /// Tasks at agents of this data centre.
+    /// The number of tasks placed at agents of this data centre.
     #[must_use]
     pub fn placed_in(&self, data_centre: &str) -> usize {
         let agents = self.agents.values();
@@ -151,7 +152,7 @@
         there.map(|agent| agent.placed).sum()
     }
 
-    /// The linked agents.
+    /// The agents with an open link.
     pub fn linked_agents(&self) -> impl Iterator<Item = &Process> {
         let agents = self.agents.iter();
         agents
@@ -159,27 +160,27 @@
             .map(|(process, _)| process)
     }
 
-    /// The version of the configuration in force, for heartbeats.
+    /// Sets the version of the configuration in force, which heartbeats carry.
     pub const fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
-    /// The number of the unanswered job with this id, if it is here.
+    /// The number of the unanswered job with this id, if this entry has it.
     #[must_use]
     pub fn find_job(&self, job: &str) -> Option<u64> {
-        let mut works = self.works.values();
-        let found = works.find(|work| &*work.job.id == job);
-        found.map(|work| work.number)
+        let mut jobs = self.jobs.values();
+        let found = jobs.find(|active| &*active.job.id == job);
+        found.map(|active| active.number)
     }
 
-    /// Whether the job with this number has started.
+    /// Whether any task of the job with this number may have started.
     #[must_use]
     pub fn is_started(&self, number: u64) -> bool {
-        self.works.get(&number).is_some_and(Work::may_have_run)
+        self.jobs.get(&number).is_some_and(ActiveJob::may_have_run)
     }
 
-    /// Takes a job in, or refuses it at once. The shell gives each job a number of its own.
-    /// Its caller leaves after `patience`.
+    /// Admits a job or refuses it at once. Each job needs a `number` of its own. Its caller leaves
+    /// after `patience`.
     pub fn submit(
         &mut self,
         number: u64,
@@ -188,10 +189,10 @@
         patience: Duration,
         now: Duration,
     ) -> Vec<Action> {
-        let ratio = self.ratios.of(&class.route);
+        let ratio = self.run_times.ratio(&class.route);
         let has_waited =
-            self.mechanisms.waited_last && self.patience.is_spent(&class.route, patience);
-        self.patience.learn(&class.route, patience);
+            self.mechanisms.waited_last && self.patience.has_waited(&class.route, patience);
+        self.patience.observe(&class.route, patience);
         let class = if self.mechanisms.priority {
             class
         } else {
@@ -200,26 +201,27 @@
                 ..JobClass::clone(&class)
             })
         };
-        self.reserve.arrive(class.priority, now);
-        let mut work = Work::new(number, job, class, patience, ratio, now).with_waited(has_waited);
-        self.crashes.recall(&mut work, now);
+        self.reserve.record_arrival(class.priority, now);
+        let mut active =
+            ActiveJob::new(number, job, class, patience, ratio, now).with_waited(has_waited);
+        self.crashes.restore(&mut active, now);
         let mut actions = Vec::new();
-        if let Some(crashed) = work.crashed() {
-            let told = told("failed", &work, now)
+        if let Some(crashed) = active.crashed_agents() {
+            let decision = job_decision("failed", &active, now)
                 .with("reason", "a task of it crashes upstreams")
                 .with("crashed", crashed);
-            actions.push(Action::Log(told.failed()));
+            actions.push(Action::Log(decision.failed()));
             actions.push(Action::Answer(number, Answer::Failed));
             return actions;
         }
-        match self.admit(&work, now) {
-            Ok(told) => {
-                actions.push(Action::Log(told));
-                self.queue.insert(work.rank());
-                self.works.insert(number, work);
-                self.is_stirred = true;
+        match self.admit(&active, now) {
+            Ok(decision) => {
+                actions.push(Action::Log(decision));
+                self.queue.insert(active.rank());
+                self.jobs.insert(number, active);
+                self.may_place = true;
             }
-            Err((answer, told)) => {
+            Err((answer, decision)) => {
                 if matches!(
                     answer,
                     Answer::Refused {
@@ -227,63 +229,63 @@
                         ..
                     }
                 ) {
-                    self.reserve.learn(work.class.priority, false);
+                    self.reserve.record_outcome(active.class.priority, false);
                 }
-                actions.push(Action::Log(told));
+                actions.push(Action::Log(decision));
                 actions.push(Action::Answer(number, answer));
             }
         }
         actions
     }
 
-    /// The usual least patience of each route's callers, as far as it is known, and whether
-    /// this process has seen enough of them to replace what others have learned.
+    /// The usual least patience of each route's callers, where it is known, and whether this
+    /// process has seen enough of them to replace what other processes have learned.
     pub fn usual_patience(&self) -> impl Iterator<Item = (&Name, Duration, bool)> {
-        self.patience.all()
+        self.patience.iter()
     }
 
-    /// What was known of a route's callers before this process started; it counts until this
-    /// process has seen enough of them itself.
+    /// Takes over the usual least patience of a route's callers that was recorded before this
+    /// process started. It counts until this process has seen enough callers itself.
     pub fn adopt_patience(&mut self, route: &Name, least: Duration) {
         self.patience.adopt(route, least);
     }
 
-    /// The caller has left or has cancelled the job: nobody waits for it any more.
+    /// Drops a job whose caller has left or has cancelled it, and stops its tasks.
     pub fn abandon(&mut self, number: u64, reason: &'static str, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
-        let Some(work) = self.remove(number) else {
+        let Some(active) = self.remove(number) else {
             return actions;
         };
         actions.push(Action::Log(
-            told("abandoned", &work, now).with("reason", reason),
+            job_decision("abandoned", &active, now).with("reason", reason),
         ));
-        self.halt_all(&work, &mut actions);
+        self.halt_all(&active, &mut actions);
         actions
     }
 
-    /// Carries out what is due.
+    /// Runs the checks that are due and places waiting tasks.
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
-        let gap = now.saturating_sub(self.polled);
-        if gap >= FROZEN && !self.polled.is_zero() {
-            self.paused = now + THAW;
-            let told = Decision::new("thawed", "", "").with("gap_ms", gap.as_millis());
-            actions.push(Action::Log(told.failed()));
+        let gap = now.saturating_sub(self.last_poll);
+        if gap >= FREEZE_THRESHOLD && !self.last_poll.is_zero() {
+            self.paused_until = now + PAUSE_AFTER_FREEZE;
+            let decision = Decision::new("thawed", "", "").with("gap_ms", gap.as_millis());
+            actions.push(Action::Log(decision.failed()));
         }
-        self.polled = now;
-        if now >= self.checked + CHECK {
-            self.checked = now;
-            self.judge();
+        self.last_poll = now;
+        if now >= self.last_check + CHECK_INTERVAL {
+            self.last_check = now;
+            self.update_ejections();
             self.reclaim(now, &mut actions);
-            self.give_up(now, &mut actions);
-            self.pass_over(now, &mut actions);
-            self.shift(now, &mut actions);
+            self.end_hopeless_jobs(now, &mut actions);
+            self.handle_missed_starts(now, &mut actions);
+            self.move_overdue_tasks(now, &mut actions);
             self.heartbeat(now, &mut actions);
-            self.is_stirred = true;
+            self.may_place = true;
         }
-        if now >= self.paused && self.is_stirred {
+        if now >= self.paused_until && self.may_place {
             self.place(now, &mut actions);
-            self.is_stirred = false;
+            self.may_place = false;
         }
         actions
     }
@@ -291,25 +293,26 @@
     /// When [`Self::poll`] has to be called next.
     #[must_use]
     pub fn next_poll(&self, now: Duration) -> Duration {
-        // What waits for a time is looked at with each check.
-        (self.checked + CHECK).max(now)
+        // All timeouts are handled by the checks.
+        (self.last_check + CHECK_INTERVAL).max(now)
     }
 
-    fn remove(&mut self, number: u64) -> Option<Work> {
-        let work = self.works.remove(&number)?;
-        self.queue.remove(&work.rank());
-        for (agent, _) in work.placed() {
+    /// Removes a job, and its tasks from the counts of the agents.
+    fn remove(&mut self, number: u64) -> Option<ActiveJob> {
+        let active = self.jobs.remove(&number)?;
+        self.queue.remove(&active.rank());
+        for (agent, _) in active.placed() {
             if let Some(agent) = self.agents.get_mut(&agent) {
                 agent.placed = agent.placed.saturating_sub(1);
             }
         }
-        Some(work)
+        Some(active)
     }
 
-    /// Tells the agents that nobody waits for the job's tasks.
-    fn halt_all(&self, work: &Work, actions: &mut Vec<Action>) {
+    /// Orders the agents to stop all tasks of a job.
+    fn halt_all(&self, active: &ActiveJob, actions: &mut Vec<Action>) {
         let mut halts: BTreeMap<Process, Vec<crate::message::Attempt>> = BTreeMap::new();
-        for (agent, attempt) in work.placed() {
+        for (agent, attempt) in active.placed() {
             halts.entry(agent).or_default().push(attempt);
         }
         for (agent, attempts) in halts {
@@ -318,14 +321,20 @@
     }
 }
 
-/// A line about a job, with what every line about one says.
-fn told(what: &'static str, work: &Work, now: Duration) -> Decision {
-    Decision::new(what, work.job.request.clone(), work.job.id.clone())
-        .with("route", &work.class.route)
-        .with("age_ms", now.saturating_sub(work.arrived).as_millis())
-        .with("left_ms", work.limit.saturating_sub(now).as_millis())
-        .with("leaves_ms", work.leaves.saturating_sub(now).as_millis())
-        .with("tasks", work.job.task_count())
-        .with("not_done", work.left)
-        .with("has_waited", work.has_waited)
+/// Creates a decision about a job, with the fields that all of them have.
+fn job_decision(kind: &'static str, active: &ActiveJob, now: Duration) -> Decision {
+    Decision::new(kind, active.job.request.clone(), active.job.id.clone())
+        .with("route", &active.class.route)
+        .with("age_ms", now.saturating_sub(active.arrived).as_millis())
+        .with(
+            "left_ms",
+            active.useful_until.saturating_sub(now).as_millis(),
+        )
+        .with(
+            "leaves_ms",
+            active.caller_deadline.saturating_sub(now).as_millis(),
+        )
+        .with("tasks", active.job.task_count())
+        .with("not_done", active.tasks_left)
+        .with("has_waited", active.has_waited)
 }
--- a/crates/cassiarock-transient/src/scheduler/patience.rs
+++ b/crates/cassiarock-transient/src/scheduler/patience.rs
@@ -1,92 +1,99 @@
-//! How long callers usually wait, by route.
+//! How long callers usually wait for an answer, by route.
 
 use cassiarock_id::Name;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The share of callers with less patience than the usual least.
-const LEAST: f64 = 0.05;
+/// The quantile of the callers' patience that is tracked as the usual least.
+const QUANTILE: f64 = 0.05;
 
-/// A caller has waited if it has less than this part of the usual least patience: one in
-/// twenty would be taken for it otherwise, the ones with the shortest jobs.
-const SPENT: f64 = 0.9;
+/// A caller has waited before if it has less than this part of the usual least patience. At 1, one
+/// caller in twenty would be taken for one that has waited: those with the shortest jobs.
+const WAITED_BELOW: f64 = 0.9;
 
-/// How far one caller moves the usual least, in terms of it. After a loss of all machines half
-/// of the callers of a second have waited: they lower it by a tenth only.
+/// How far one caller moves the usual least, relative to its value. After a loss of all machines
+/// half of the callers of one second have waited, and lower it by only a tenth.
 const STEP: f64 = 0.002;
 
-/// Callers of which the least is taken as it is. With fewer nothing is known.
-const FIRST: u32 = 20;
+/// The number of callers whose least patience is taken as it is. With fewer, nothing is known.
+const MIN_CALLERS: u32 = 20;
 
-/// Callers after which a process goes by what it has seen itself: some ten times what the
-/// first second after a restart brings.
-const SURE: u32 = 200;
+/// The number of callers after which a process relies on what it has seen itself: some ten times
+/// what the first second after a restart brings.
+const ENOUGH_CALLERS: u32 = 200;
 
-/// Routes that are remembered; a configuration has some hundreds.
-const ROUTES: usize = 1024;
+/// The most routes that are remembered; a configuration has some hundreds.
+const MAX_ROUTES: usize = 1024;
 
 /// What is known of the callers of one route.
 #[derive(Clone, Copy, Debug)]
-struct Usual {
+struct Estimate {
     least: Duration,
-    seen: u32,
+    callers: u32,
 }
 
 /// The usual least patience of each route's callers.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Patience(HashMap<Name, Usual>);
+pub(super) struct Patience(HashMap<Name, Estimate>);
 
 impl Patience {
-    /// Whether a caller with this much patience has waited before it came: its earlier
-    /// submission was lost with its connection, or its connection was long in coming.
-    pub(super) fn is_spent(&self, route: &str, patience: Duration) -> bool {
+    /// Whether a caller with this much patience has waited before it submitted: its earlier
+    /// submission was lost with its connection, or its connection took long to open.
+    pub(super) fn has_waited(&self, route: &str, patience: Duration) -> bool {
         let least = self.least(route);
-        least.is_some_and(|least| patience < least.mul_f64(SPENT))
+        least.is_some_and(|least| patience < least.mul_f64(WAITED_BELOW))
     }
 
     /// The usual least patience, if enough callers have been seen.
     pub(super) fn least(&self, route: &str) -> Option<Duration> {
-        let usual = self.0.get(route)?;
-        (usual.seen >= FIRST).then_some(usual.least)
+        let estimate = self.0.get(route)?;
+        (estimate.callers >= MIN_CALLERS).then_some(estimate.least)
     }
 
-    /// All that is known, each with whether enough callers were seen to replace what others
-    /// have learned.
-    pub(super) fn all(&self) -> impl Iterator<Item = (&Name, Duration, bool)> {
-        let known = self.0.iter().filter(|(_, usual)| usual.seen >= FIRST);
-        known.map(|(route, usual)| (route, usual.least, usual.seen >= SURE))
+    /// The usual least patience of each route for which it is known, with whether enough callers
+    /// were seen to replace what other processes have learned.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&Name, Duration, bool)> {
+        let known = self.0.iter();
+        let known = known.filter(|(_, estimate)| estimate.callers >= MIN_CALLERS);
+        known.map(|(route, estimate)| {
+            let is_sure = estimate.callers >= ENOUGH_CALLERS;
+            (route, estimate.least, is_sure)
+        })
     }
 
-    /// What an earlier life or another entry has learned counts while this one knows less.
+    /// Takes over what an earlier process or another entry has learned, unless this process has
+    /// seen enough callers itself.
     ///
-    /// The callers of a process's first second are no measure: after a loss of all machines
-    /// half of them have waited, and the least of the first twenty was theirs.
+    /// The callers of a process's first second are not representative: after a loss of all machines
+    /// half of them have waited, and the least patience of the first twenty was theirs.
     pub(super) fn adopt(&mut self, route: &Name, least: Duration) {
-        let seen = self.0.get(route).map_or(0, |usual| usual.seen);
-        if seen < SURE {
-            self.0.insert(route.clone(), Usual { least, seen: SURE });
+        let callers = self.0.get(route).map_or(0, |estimate| estimate.callers);
+        if callers < ENOUGH_CALLERS {
+            let callers = ENOUGH_CALLERS;
+            self.0.insert(route.clone(), Estimate { least, callers });
         }
     }
 
-    pub(super) fn learn(&mut self, route: &Name, patience: Duration) {
-        if self.0.len() >= ROUTES && !self.0.contains_key(route) {
+    /// Adds the patience of a caller to the estimate of its route.
+    pub(super) fn observe(&mut self, route: &Name, patience: Duration) {
+        if self.0.len() >= MAX_ROUTES && !self.0.contains_key(route) {
             self.0.clear();
         }
-        let usual = self.0.entry(route.clone()).or_insert(Usual {
+        let estimate = self.0.entry(route.clone()).or_insert(Estimate {
             least: patience,
-            seen: 0,
+            callers: 0,
         });
-        if usual.seen < FIRST {
-            usual.least = usual.least.min(patience);
-            usual.seen += 1;
+        if estimate.callers < MIN_CALLERS {
+            estimate.least = estimate.least.min(patience);
+            estimate.callers += 1;
             return;
         }
-        usual.seen = usual.seen.saturating_add(1);
-        let step = if patience < usual.least {
-            1.0 - STEP * (1.0 - LEAST)
+        estimate.callers = estimate.callers.saturating_add(1);
+        let step = if patience < estimate.least {
+            1.0 - STEP * (1.0 - QUANTILE)
         } else {
-            1.0 + STEP * LEAST
+            1.0 + STEP * QUANTILE
         };
-        usual.least = usual.least.mul_f64(step);
+        estimate.least = estimate.least.mul_f64(step);
     }
 }
--- a/crates/cassiarock-transient/src/scheduler/place.rs
+++ b/crates/cassiarock-transient/src/scheduler/place.rs
@@ -1,53 +1,54 @@
-//! Where tasks are placed.
+//! Placement of waiting tasks on agents.
 
+use super::active_job::{ActiveJob, Phase, core_millis};
 use super::choose::is_eligible;
-use super::crash::suspected;
-use super::work::{Phase, Work, core_millis};
-use super::{Action, Scheduler, told};
+use super::crash::suspect_agents;
+use super::{Action, Latency, Scheduler, job_decision};
+use crate::Decision;
 use crate::message::{Order, Start};
 use cassiarock_id::Process;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Jobs in the queue that are looked at in one round once one of them found no room: a small
-/// task further back may fit where a large one does not.
-const BEHIND: usize = 16;
+/// The most jobs in one round that may stay without room before placement stops. A small task
+/// further back in the queue may fit where a large one does not.
+const MAX_BLOCKED_JOBS: usize = 16;
 
 impl Scheduler {
-    /// Places waiting tasks, the jobs that have to start first before others.
+    /// Places waiting tasks in the order of the queue, and asks for room for those that remain.
     pub(super) fn place(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             self.ask_for_room(&BTreeSet::new(), now, actions);
             return;
         }
-        self.suspected = if self.crashes.is_empty(now) {
+        self.suspect_agents = if self.crashes.is_empty(now) {
             BTreeSet::new()
         } else {
-            suspected(self.works.values())
+            suspect_agents(self.jobs.values())
         };
         let mut orders: BTreeMap<Process, Vec<Order>> = BTreeMap::new();
         let numbers: Vec<u64> = self.queue.iter().map(|rank| rank.number).collect();
-        let mut behind = 0;
-        // Whether a job is started of which tasks found no room. Others then start whole or not
-        // at all: each would get a task placed here and there, and the last ones too late.
-        let mut is_one_open = false;
+        let mut blocked = 0;
+        // Whether tasks of a started job found no room. Other jobs then start whole or not at all.
+        // Otherwise each of them would get single tasks placed, and the last ones too late.
+        let mut is_any_partial = false;
         for number in numbers {
-            let Some(mut work) = self.works.remove(&number) else {
+            let Some(mut active) = self.jobs.remove(&number) else {
                 continue;
             };
-            let mut all = false;
-            if work.was_placed || self.may_start(&work, is_one_open, now) {
-                self.queue.remove(&work.rank());
-                all = self.place_work(&mut work, now, &mut orders, actions);
-                if work.has_waiting() {
-                    self.queue.insert(work.rank());
+            let mut is_whole = false;
+            if active.was_placed || self.may_start(&active, is_any_partial, now) {
+                self.queue.remove(&active.rank());
+                is_whole = self.place_job(&mut active, now, &mut orders, actions);
+                if active.has_waiting() {
+                    self.queue.insert(active.rank());
                 }
-                is_one_open |= !all && work.was_placed;
+                is_any_partial |= !is_whole && active.was_placed;
             }
-            self.works.insert(number, work);
-            if !all {
-                behind += 1;
-                if behind > BEHIND {
+            self.jobs.insert(number, active);
+            if !is_whole {
+                blocked += 1;
+                if blocked > MAX_BLOCKED_JOBS {
                     break;
                 }
             }
@@ -57,78 +58,83 @@
         self.ask_for_room(&ordered, now, actions);
     }
 
-    /// Whether a job may start of which nothing is placed, while another one `is_open` of which
-    /// tasks found no room.
-    fn may_start(&self, work: &Work, is_open: bool, now: Duration) -> bool {
-        let has_to_fit = is_open && self.mechanisms.whole_starts;
-        self.leaves_room(work, now) && (!has_to_fit || self.fits_whole(work, now))
+    /// Whether a job may start of which nothing is placed. `is_any_partial` tells whether tasks of
+    /// a started job found no room.
+    fn may_start(&self, active: &ActiveJob, is_any_partial: bool, now: Duration) -> bool {
+        let has_to_fit = is_any_partial && self.mechanisms.whole_starts;
+        self.is_reserve_free(active, now) && (!has_to_fit || self.fits_whole(active, now))
     }
 
-    /// Whether enough room is free for a job of this urgency to start. Counted in whole tasks
-    /// of its own, so that a system of a few tasks keeps none of them empty.
-    fn leaves_room(&self, work: &Work, now: Duration) -> bool {
-        let reserved = self.reserve.share(work.urgency(), now);
+    /// Whether the room reserved for more urgent jobs is free. It is counted in whole tasks of this
+    /// job, so that a system with room for a few tasks keeps none of it empty.
+    fn is_reserve_free(&self, active: &ActiveJob, now: Duration) -> bool {
+        let reserved = self.reserve.share_for(active.urgency(), now);
         if reserved == 0.0 || !self.mechanisms.reserve {
             return true;
         }
         let agents = self.agents.values();
-        let open = agents.filter(|agent| agent.is_open(now) && agent.serves(&work.class.service));
-        let (free, all) = open.fold((0, 0), |(free, all), agent| {
-            (free + agent.free().cpu, all + agent.capacity().cpu)
+        let open = agents.filter(|agent| agent.is_open(now) && agent.serves(&active.class.service));
+        let (free, capacity) = open.fold((0, 0), |(free, capacity), agent| {
+            (free + agent.free().cpu, capacity + agent.capacity().cpu)
         });
-        let kept = (reserved * all as f64) as u64;
-        let mut demands = work.job.stages.iter().map(|stage| stage.demand.cpu.max(1));
-        demands.all(|demand| free / demand >= kept / demand)
+        let reserved = (reserved * capacity as f64) as u64;
+        let mut demands = active
+            .job
+            .stages
+            .iter()
+            .map(|stage| stage.demand.cpu.max(1));
+        demands.all(|demand| free / demand >= reserved / demand)
     }
 
-    /// Whether there is room now for all tasks of the job that can start.
-    fn fits_whole(&self, work: &Work, now: Duration) -> bool {
-        let stages = work.job.stages.iter().enumerate();
-        let mut open = stages.filter(|(stage, _)| work.is_open(*stage));
-        open.all(|(stage, wanted)| {
-            let tasks = work.tasks[stage].iter();
+    /// Whether there is room for all tasks of the stages that can start now.
+    fn fits_whole(&self, active: &ActiveJob, now: Duration) -> bool {
+        let stages = active.job.stages.iter().enumerate();
+        let mut ready = stages.filter(|(stage, _)| active.is_stage_ready(*stage));
+        ready.all(|(index, stage)| {
+            let tasks = active.tasks[index].iter();
             let waiting = tasks.filter(|task| matches!(task.phase, Phase::Waiting(_)));
             let agents = self.agents.values();
-            let fit = agents.filter(|agent| is_eligible(work, wanted, agent, now));
-            let most = u64::from(wanted.max_per_upstream.unwrap_or(u32::MAX));
-            let room: u64 = fit
-                .map(|agent| agent.free().count_of(&wanted.demand).min(most))
+            let eligible = agents.filter(|agent| is_eligible(active, stage, agent, now));
+            let max = u64::from(stage.max_per_upstream.unwrap_or(u32::MAX));
+            let room: u64 = eligible
+                .map(|agent| agent.free().count_of(&stage.demand).min(max))
                 .sum();
             waiting.count() as u64 <= room
         })
     }
 
-    /// Whether all tasks that wait found room.
-    fn place_work(
+    /// Places the tasks of a job that are ready, and returns whether all of them found room.
+    fn place_job(
         &mut self,
-        work: &mut Work,
+        active: &mut ActiveJob,
         now: Duration,
         orders: &mut BTreeMap<Process, Vec<Order>>,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let waiting = work.waiting(now);
-        let asked = waiting.len();
+        let ready = active.ready_tasks(now);
+        let ready_count = ready.len();
         let mut starts: BTreeMap<Process, Vec<Start>> = BTreeMap::new();
-        // Tasks of one stage want the same: where one finds no room, the others find none.
-        let mut full = None;
-        for (stage, index) in waiting {
-            if full == Some(stage) {
+        // Tasks of one stage have the same demand: if one finds no room, the others find none.
+        let mut blocked_stage = None;
+        for (stage, index) in ready {
+            if blocked_stage == Some(stage) {
                 continue;
             }
-            let Some(process) = self.choose(work, stage, index, &starts, now) else {
-                full = Some(stage);
+            let Some(process) = self.choose_agent(active, stage, index, &starts, now) else {
+                blocked_stage = Some(stage);
                 continue;
             };
-            if !work.tasks[stage][index].crashed.is_empty() {
-                self.suspected.insert(process.clone());
+            if !active.tasks[stage][index].crashes.is_empty() {
+                self.suspect_agents.insert(process.clone());
             }
-            let demand = work.job.stages[stage].demand;
+            let demand = active.job.stages[stage].demand;
             if let Some(agent) = self.agents.get_mut(&process) {
-                agent.order(demand);
+                agent.add_order(demand);
             }
-            let expected = work.expected[stage];
-            self.rate.add(core_millis(demand.cpu, expected), now);
-            let task = &mut work.tasks[stage][index];
+            let expected = active.expected[stage];
+            self.placement_rate
+                .add(core_millis(demand.cpu, expected), now);
+            let task = &mut active.tasks[stage][index];
             task.phase = Phase::Placed(process.clone(), now);
             starts.entry(process).or_default().push(Start {
                 stage: u32::try_from(stage).unwrap_or(u32::MAX),
@@ -136,51 +142,53 @@
                 attempt: task.attempt,
                 demand,
                 expected,
-                suspect: task.suspect(),
+                suspect: task.suspected_loss(),
             });
         }
         let placed: usize = starts.values().map(Vec::len).sum();
         if placed > 0 {
-            if !work.was_placed {
-                work.was_placed = true;
-                let took = now.saturating_sub(work.arrived);
-                let route = work.class.route.clone();
-                actions.push(Action::Measure(super::Latency::Queue, route, took));
+            if !active.was_placed {
+                active.was_placed = true;
+                let took = now.saturating_sub(active.arrived);
+                let route = active.class.route.clone();
+                actions.push(Action::Measure(Latency::Queue, route, took));
             }
-            actions.push(Action::Log(self.placed_line(work, asked, &starts, now)));
+            let decision = self.placed_decision(active, ready_count, &starts, now);
+            actions.push(Action::Log(decision));
         }
         for (process, tasks) in starts {
             orders.entry(process).or_default().push(Order {
-                number: work.number,
-                job: work.job.id.clone(),
-                request: work.job.request.clone(),
-                spec: work.job.spec.clone(),
+                number: active.number,
+                job: active.job.id.clone(),
+                request: active.job.request.clone(),
+                spec: active.job.spec.clone(),
                 tasks,
             });
         }
-        placed == asked
+        placed == ready_count
     }
 
-    fn placed_line(
+    /// The decision to place tasks, with the reported load of each agent and its age.
+    fn placed_decision(
         &self,
-        work: &Work,
-        asked: usize,
+        active: &ActiveJob,
+        ready_count: usize,
         starts: &BTreeMap<Process, Vec<Start>>,
         now: Duration,
-    ) -> crate::Decision {
+    ) -> Decision {
         let places: Vec<String> = starts
             .iter()
             .map(|(process, tasks)| {
                 let agent = self.agents.get(process);
                 let (free, age) = agent.map_or((0, 0), |agent| {
-                    let age = now.saturating_sub(agent.heard);
+                    let age = now.saturating_sub(agent.last_heard);
                     (agent.free().cpu, age.as_millis())
                 });
                 format!("{process}:{}/free={free}/age_ms={age}", tasks.len())
             })
             .collect();
-        told("placed", work, now)
-            .with("asked", asked)
+        job_decision("placed", active, now)
+            .with("asked", ready_count)
             .with("places", places.join(","))
     }
 }
--- a/crates/cassiarock-transient/src/scheduler/reserve.rs
+++ b/crates/cassiarock-transient/src/scheduler/reserve.rs
@@ -1,81 +1,82 @@
-//! How much room is left to more urgent jobs.
+//! Room that is reserved for more urgent jobs.
 //!
-//! The load that this answers is a burst in a large system. Entries share the upstreams, and
-//! each orders only its own queue, so that freed room goes to whoever hears of it first. Jobs
-//! that can wait long find room in the end; urgent ones with eight tasks and 80 ms to spare do
-//! not: the most urgent kind was the worst served. So a job of a less urgent kind starts only
-//! while a share of the room is free, a larger one for each step of urgency (trunk
-//! reservation). No entry has to know the others' queues for it.
+//! In a burst in a large system, entries share the upstreams and each orders only its own queue,
+//! so that freed room goes to whichever entry learns of it first. Jobs that can wait long find
+//! room in the end, but urgent ones with eight tasks and 80 ms to spare do not: the most urgent
+//! kind was served worst. A job of a less urgent kind therefore starts only while a share of the
+//! room is free, a larger one for each step of urgency (trunk reservation). No entry has to know
+//! the queues of the others.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The share of the room that is left free for each step of urgency.
-const STEP: f64 = 0.06;
+/// The share of the room that is kept free for each step of urgency.
+const SHARE_PER_STEP: f64 = 0.06;
 
-/// Steps that count: the least urgent of nine kinds would need half of the room free.
-const STEPS: usize = 3;
+/// The most steps that count. Without this bound, the least urgent of nine kinds would need half of the
+/// room free.
+const MAX_STEPS: usize = 3;
 
-/// Room is kept for a kind only while its jobs come at least this often.
-const RECENT: Duration = Duration::from_secs(3);
+/// Room is reserved for a kind only if one of its jobs arrived within this time.
+const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Answers that make up two thirds of what is known of a kind: with far fewer chance decides,
-/// with far more a burst is over before it shows.
+/// The number of answers that make up two thirds of the moving mean. With far fewer the mean is
+/// noise, with far more a burst is over before it shows.
 const MEMORY: f64 = 40.0;
 
-/// Far beyond the room, keeping some of it free only starves the less urgent: with less than
-/// this share of the more urgent ones in time it ends.
-const HOPELESS: f64 = 0.6;
+/// If less than this share of a more urgent kind is on time, nothing is reserved: far beyond the
+/// capacity, reserved room only starves the less urgent kinds.
+const MIN_ON_TIME: f64 = 0.6;
 
-/// Priorities that are remembered; operators use a handful.
-const PRIORITIES: usize = 64;
+/// The most priorities that are remembered; operators use a handful.
+const MAX_PRIORITIES: usize = 64;
 
-/// How jobs of one priority have fared lately.
+/// How jobs of one priority have fared recently.
 #[derive(Clone, Copy, Debug)]
-struct Fare {
-    /// The share answered in time.
-    in_time: f64,
-    /// When one came last.
-    came: Duration,
+struct Record {
+    /// The moving mean of the share that was answered on time.
+    on_time: f64,
+    last_arrival: Duration,
 }
 
 /// How jobs have fared, by the operators' priority.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Reserve(BTreeMap<u32, Fare>);
+pub(super) struct Reserve(BTreeMap<u32, Record>);
 
 impl Reserve {
-    /// A job of this priority came.
-    pub(super) fn arrive(&mut self, priority: u32, now: Duration) {
-        if self.0.len() >= PRIORITIES && !self.0.contains_key(&priority) {
+    /// Records that a job of this priority arrived.
+    pub(super) fn record_arrival(&mut self, priority: u32, now: Duration) {
+        if self.0.len() >= MAX_PRIORITIES && !self.0.contains_key(&priority) {
             self.0.clear();
         }
-        let first = Fare {
-            in_time: 1.0,
-            came: now,
+        let first = Record {
+            on_time: 1.0,
+            last_arrival: now,
         };
-        self.0.entry(priority).or_insert(first).came = now;
+        self.0.entry(priority).or_insert(first).last_arrival = now;
     }
 
-    /// One was answered.
-    pub(super) fn learn(&mut self, priority: u32, is_in_time: bool) {
-        if let Some(fare) = self.0.get_mut(&priority) {
-            let answer = f64::from(u8::from(is_in_time));
-            fare.in_time += (answer - fare.in_time) / MEMORY;
+    /// Records that a job of this priority was answered.
+    pub(super) fn record_outcome(&mut self, priority: u32, is_on_time: bool) {
+        if let Some(record) = self.0.get_mut(&priority) {
+            let outcome = f64::from(u8::from(is_on_time));
+            record.on_time += (outcome - record.on_time) / MEMORY;
         }
     }
 
-    /// The share of the room that has to stay free when a job of this priority starts. None,
-    /// if its kind fares worse than a more urgent one already.
-    pub(super) fn share(&self, priority: u32, now: Duration) -> f64 {
-        let urgent = self.0.range(..priority).map(|(_, fare)| fare);
-        let urgent = urgent.filter(|fare| now.saturating_sub(fare.came) < RECENT);
-        let (steps, worst) = urgent.fold((0, 1.0), |(steps, worst), fare| {
-            (steps + 1, fare.in_time.min(worst))
+    /// The share of the room that has to be free for a job of this priority to start. It is 0 if
+    /// this kind already fares worse than a more urgent one.
+    pub(super) fn share_for(&self, priority: u32, now: Duration) -> f64 {
+        let urgent = self.0.range(..priority).map(|(_, record)| record);
+        let urgent =
+            urgent.filter(|record| now.saturating_sub(record.last_arrival) < ARRIVAL_TIMEOUT);
+        let (steps, worst) = urgent.fold((0, 1.0), |(steps, worst), record| {
+            (steps + 1, record.on_time.min(worst))
         });
-        let own = self.0.get(&priority).map_or(1.0, |fare| fare.in_time);
-        if worst < HOPELESS || own < worst {
+        let own = self.0.get(&priority).map_or(1.0, |record| record.on_time);
+        if worst < MIN_ON_TIME || own < worst {
             return 0.0;
         }
-        steps.min(STEPS) as f64 * STEP
+        steps.min(MAX_STEPS) as f64 * SHARE_PER_STEP
     }
 }
--- /dev/null
+++ b/crates/cassiarock-transient/src/scheduler/upstream_kinds.rs
@@ -0,0 +1,34 @@
+//! The kinds of upstream that an entry has seen.
+
+use crate::Resources;
+use crate::message::Upstream;
+use cassiarock_id::Name;
+
+/// The most kinds that are remembered. A deployment has some five, and each may occur with several
+/// capacities.
+const MAX_KINDS: usize = 64;
+
+/// The service and the capacity of each kind of upstream seen so far, the newest last.
+///
+/// A job is called impossible only if it fits none of them. An upstream that is merely away must
+/// not make a job impossible: callers take that for a fault of their own and do not come back.
+#[derive(Clone, Debug, Default)]
+pub(super) struct UpstreamKinds(Vec<(Name, Resources)>);
+
+impl UpstreamKinds {
+    pub(super) fn add(&mut self, upstream: &Upstream) {
+        let is_same =
+            |kind: &(Name, Resources)| kind.0 == upstream.service && kind.1 == upstream.capacity;
+        self.0.retain(|kind| !is_same(kind));
+        if self.0.len() >= MAX_KINDS {
+            self.0.remove(0);
+        }
+        self.0.push((upstream.service.clone(), upstream.capacity));
+    }
+
+    /// Whether any upstream of the service ever had the capacity for `demand`.
+    pub(super) fn has_room_for(&self, service: &str, demand: &Resources) -> bool {
+        let mut kinds = self.0.iter().filter(|(of, _)| &**of == service);
+        kinds.any(|(_, capacity)| demand.fits_in(capacity))
+    }
+}
--- a/crates/cassiarock-transient/src/table.rs
+++ b/crates/cassiarock-transient/src/table.rs
@@ -1,46 +1,46 @@
-//! The routes of one configuration.
+//! The routing table of a configuration.
 
 use crate::JobClass;
 use cassiarock_id::Name;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A route: which requests it takes and how their jobs are treated.
+/// A route: which requests it matches and how their jobs are scheduled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The host that callers name.
+    /// The host of matching requests.
     pub host: Name,
-    /// How the paths of its requests begin.
+    /// The path prefix of matching requests.
     pub prefix: Name,
-    /// How its jobs are treated.
+    /// How its jobs are scheduled.
     pub class: Arc<JobClass>,
 }
 
-/// RequestLimits on what callers send.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestLimits {
-    /// All headers together, in bytes.
+    /// The most that all headers together may take, in bytes.
     pub max_header_bytes: usize,
-    /// A body, in bytes.
+    /// The most that a body may take, in bytes.
     pub max_body_bytes: usize,
-    /// How long the headers may take.
+    /// How long a caller may take to send the headers.
     pub header_timeout: Duration,
     /// How long a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// All routes of one version of the configuration.
+/// The routes and limits of one version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTable {
-    /// The version.
+    /// The version of the configuration.
     pub version: u64,
-    /// The limits.
+    /// The limits on requests to all routes.
     pub limits: RequestLimits,
     routes: Vec<Route>,
 }
 
 impl RouteTable {
-    /// A table of `routes`, sorted so that the longest prefix is met first.
+    /// Creates a table of `routes`. Longer prefixes match before shorter ones.
     #[must_use]
     pub fn new(version: u64, limits: RequestLimits, mut routes: Vec<Route>) -> Self {
         routes.sort_by(|a, b| {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The route with the longest prefix of `path` at `host`. A port in `host` is ignored.
+    /// Finds the route of `host` with the longest prefix of `path`. A port in `host` is ignored.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or_default();
@@ -64,7 +64,7 @@
             .find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.routes.len()
