--- a/crates/cassiarock-transient/tests/evacuation.rs
+++ b/crates/cassiarock-transient/tests/evacuation.rs
@@ -1,11 +1,11 @@
-//! What is known of the data centres that operators empty.
+//! The state of the operators' evacuation orders.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use cassiarock_transient::evacuation::State;
 
-// An entry that the store had turned away for seconds passed on what it knew. The data centre
-// had been taken back meanwhile, and was left empty again by all that heard it.
+// An entry that the store had rejected for seconds passed on an old state. The evacuation had been
+// revoked meanwhile, and all processes that received the state began it again.
 #[test]
 fn a_state_that_is_older_changes_nothing() {
     let mut state = State::new(9, []);
@@ -22,10 +22,10 @@
     assert_eq!(change.ended, ["dc-1".into()]);
 }
 
-// The pages of newest records are no snapshot: a record that was written between two of them is
-// shown by the later page, and comes once more with the records that follow.
+// The pages of newest records are not an atomic snapshot: a record that was written between two
+// pages is on the later page, and is read again with the records that follow.
 #[test]
-fn a_record_that_a_snapshot_holds_already_may_come_again() {
+fn a_record_that_is_already_applied_may_be_read_again() {
     let mut state = State::new(4, ["dc-1".into()]);
     state.apply(4, "dc-1".into(), true);
     state.apply(5, "dc-1".into(), false);
--- a/crates/cassiarock-transient/tests/lag.rs
+++ b/crates/cassiarock-transient/tests/lag.rs
@@ -1,4 +1,4 @@
-//! Whom an entry asks that is behind with the configuration.
+//! When an entry with an old configuration asks another entry for a newer one.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,9 +14,10 @@
     Process::new(format!("entry-{number}"), 1)
 }
 
-// An operator publishes a configuration of 1,700 routes while the store turns one entry away.
-// Three others tell it ten times a second that they are ahead. It asked each of them each time,
-// and 30 copies a second of 250 KB came over its link; callers were answered seconds late.
+// An operator publishes a configuration of 1,700 routes while the store rejects one entry. Three
+// other entries report ten times a second that they have a newer version. The entry asked each of
+// them each time, and 30 copies a second of 250 KB arrived over its link, so that callers were
+// answered seconds late.
 #[test]
 fn an_entry_that_is_behind_asks_one_other_at_a_time() {
     let mut lag = ConfigurationLag::new();
@@ -32,8 +33,8 @@
     assert_eq!(asked, [ms(300)]);
 }
 
-// The store brings the configuration to all entries within milliseconds, but on a link of
-// 2 Mbit/s it takes a second to come. Copies of others would only make it later.
+// The store sends a configuration to all entries within milliseconds, but on a link of 2 Mbit/s it
+// takes a second to arrive. Copies from other entries would only delay it further.
 #[test]
 fn an_entry_asks_nobody_while_the_store_sends() {
     let mut lag = ConfigurationLag::new();
@@ -45,8 +46,8 @@
 }
 
 // The store's connection went silent in the middle of a configuration, as connections do on this
-// network. The entry took it for one that was coming, asked nobody, and went on by the old one
-// until the read was given up, 23 s later; operators allow 2 s.
+// network. The entry assumed that the rest would arrive, asked nobody, and used the old version
+// until the read timed out 23 s later; operators allow 2 s.
 #[test]
 fn an_entry_asks_another_if_what_the_store_sends_does_not_arrive() {
     let mut lag = ConfigurationLag::new();
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn an_answer_that_does_not_come_is_asked_of_another() {
+fn another_entry_is_asked_if_no_copy_arrives() {
     let mut lag = ConfigurationLag::new();
     lag.should_ask(&entry(1), false, ms(0));
     assert!(lag.should_ask(&entry(1), false, ms(300)));
--- a/crates/cassiarock-transient/tests/scheduler/answers.rs
+++ b/crates/cassiarock-transient/tests/scheduler/answers.rs
@@ -1,121 +1,121 @@
-//! Answers say what is true.
+//! Answers to callers.
 
-use crate::world::{World, ms};
+use crate::harness::{Harness, ms};
 use cassiarock_transient::message::End;
 use cassiarock_transient::scheduler::Answer;
 
 #[test]
 fn a_job_whose_tasks_are_all_done_is_completed() {
-    let mut world = World::new(1);
-    world.submit(1, 2, 50, 2_000);
-    for task in world.placed.clone() {
-        assert_eq!(world.answer(1), None);
-        world.end(task.attempt, End::Done);
+    let mut harness = Harness::new(1);
+    harness.submit(1, 2, 50, 2_000);
+    for task in harness.placed.clone() {
+        assert_eq!(harness.answer(1), None);
+        harness.end(task.attempt, End::Done);
     }
-    assert_eq!(world.answer(1), Some(Answer::Completed));
+    assert_eq!(harness.answer(1), Some(Answer::Completed));
 }
 
 #[test]
 fn a_task_that_failed_is_tried_on_another_upstream() {
-    let mut world = World::new(2);
-    world.submit(1, 1, 50, 2_000);
-    let first = world.placed[0].clone();
-    world.end(first.attempt, End::Failed);
-    assert_eq!(world.placed.len(), 1);
-    assert_ne!(world.placed[0].agent, first.agent);
-    assert_eq!(world.placed[0].attempt.attempt, 2);
+    let mut harness = Harness::new(2);
+    harness.submit(1, 1, 50, 2_000);
+    let first = harness.placed[0].clone();
+    harness.end(first.attempt, End::Failed);
+    assert_eq!(harness.placed.len(), 1);
+    assert_ne!(harness.placed[0].agent, first.agent);
+    assert_eq!(harness.placed[0].attempt.attempt, 2);
 }
 
-// A job may be called failed only if one of its tasks failed as often as its queue allows.
+// A job may be answered as failed only if one of its tasks failed as often as its queue allows.
 #[test]
 fn a_job_has_failed_once_a_task_has_failed_as_often_as_it_may() {
-    let mut world = World::new(2);
-    world.submit(1, 2, 50, 2_000);
-    let first = world.placed[0].attempt;
-    world.end(first, End::Failed);
-    let again = world
+    let mut harness = Harness::new(2);
+    harness.submit(1, 2, 50, 2_000);
+    let first = harness.placed[0].attempt;
+    harness.end(first, End::Failed);
+    let again = harness
         .placed
         .iter()
         .find(|task| task.attempt.index == first.index);
-    world.end(again.unwrap().attempt, End::Failed);
-    assert_eq!(world.answer(1), Some(Answer::Failed));
-    assert_eq!(world.halted.len(), 1, "its other task is stopped");
+    harness.end(again.unwrap().attempt, End::Failed);
+    assert_eq!(harness.answer(1), Some(Answer::Failed));
+    assert_eq!(harness.halted.len(), 1, "its other task is stopped");
 }
 
-// A caller was told that its job had failed, and looked for a fault in it. In truth an
-// upstream had kept one of its tasks too long, and the entry had given the job up.
+// A job that the entry gave up, because an upstream ran one of its tasks too long, was answered as
+// failed. Its caller looked for a fault in the job.
 #[test]
-fn a_job_that_was_given_up_is_not_called_failed() {
-    let mut world = World::new(1);
-    world.submit(1, 1, 50, 500);
-    world.pass(520);
-    assert_eq!(world.answer(1), Some(Answer::GivenUp));
-    assert_eq!(world.halted.len(), 1);
+fn a_job_that_was_given_up_is_not_answered_as_failed() {
+    let mut harness = Harness::new(1);
+    harness.submit(1, 1, 50, 500);
+    harness.advance(520);
+    assert_eq!(harness.answer(1), Some(Answer::GivenUp));
+    assert_eq!(harness.halted.len(), 1);
 }
 
-// A caller was answered 504, so it could not know whether its booking had run, and did not
-// dare to send it again. All orders for it had been turned away: it had surely not run.
+// A job whose orders had all been refused was answered 504. Its caller could not know that it had
+// not run, and did not submit it again.
 #[test]
-fn a_job_whose_orders_were_all_turned_away_is_refused_and_not_given_up() {
-    let mut world = World::new(1);
-    world.submit(1, 1, 50, 300);
-    world.tell_full();
-    let task = world.placed[0].attempt;
-    world.end_full(task);
-    world.pass_full(320);
-    let answer = world.answer(1);
+fn a_job_whose_orders_were_all_refused_is_refused_and_not_given_up() {
+    let mut harness = Harness::new(1);
+    harness.submit(1, 1, 50, 300);
+    harness.report_full();
+    let task = harness.placed[0].attempt;
+    harness.refuse_full(task);
+    harness.advance_full(320);
+    let answer = harness.answer(1);
     assert!(matches!(answer, Some(Answer::Refused { .. })), "{answer:?}");
 }
 
-// An upstream had run a task when it was lost. Whatever comes after, the job may have run.
+// An upstream was lost with a task of the job. Whatever happens later, the job may have run.
 #[test]
 fn a_job_of_which_a_task_was_lost_is_never_refused() {
-    let mut world = World::new(1);
-    world.submit(1, 1, 50, 300);
-    world.tell_full();
-    let task = world.placed[0].attempt;
-    world.end(task, End::Lost);
-    world.pass_full(320);
-    assert_eq!(world.answer(1), Some(Answer::GivenUp));
+    let mut harness = Harness::new(1);
+    harness.submit(1, 1, 50, 300);
+    harness.report_full();
+    let task = harness.placed[0].attempt;
+    harness.end(task, End::Lost);
+    harness.advance_full(320);
+    assert_eq!(harness.answer(1), Some(Answer::GivenUp));
 }
 
 #[test]
-fn a_job_that_no_upstream_has_room_for_has_failed_at_once() {
-    let mut world = World::new(2);
-    submit_large(&mut world, 1);
-    assert_eq!(world.answer(1), Some(Answer::Failed));
+fn a_job_that_no_upstream_has_capacity_for_fails_at_once() {
+    let mut harness = Harness::new(2);
+    submit_large(&mut harness, 1);
+    assert_eq!(harness.answer(1), Some(Answer::Failed));
 }
 
-// After a loss of power all processes start at once, and with them come the callers that
-// waited. An entry that knew no agent yet refused them all, 200 ms before the agents were there.
+// After a power loss all processes start at once, and the waiting callers submit their jobs. An
+// entry that knew no agent yet refused them all, 200 ms before the agents were linked.
 #[test]
 fn a_job_that_comes_before_the_first_agent_waits_for_it() {
-    let mut world = World::starting();
-    world.submit(1, 1, 200, 2_000);
-    assert_eq!(world.answer(1), None);
-    world.add(crate::world::agent(0));
-    world.pass(50);
-    assert_eq!(world.placed.len(), 1);
+    let mut harness = Harness::starting();
+    harness.submit(1, 1, 200, 2_000);
+    assert_eq!(harness.answer(1), None);
+    harness.add_agent(crate::harness::agent(0));
+    harness.advance(50);
+    assert_eq!(harness.placed.len(), 1);
 }
 
-// All processes had started at once. An entry knew one upstream, too small for the job, and
-// answered it as failed, which callers take for a fault of their own.
+// All processes had started at once. An entry that knew only one upstream, too small for the job,
+// answered the job as failed, which callers take for a fault of their own.
 #[test]
-fn a_job_that_the_first_upstream_is_too_small_for_waits_for_the_others() {
-    let mut world = World::starting();
-    world.add(crate::world::agent(0));
-    world.beat();
-    submit_large(&mut world, 1);
-    assert_eq!(world.answer(1), None);
+fn a_job_that_is_too_large_for_the_first_upstream_waits_for_the_others() {
+    let mut harness = Harness::starting();
+    harness.add_agent(crate::harness::agent(0));
+    harness.heartbeat_all();
+    submit_large(&mut harness, 1);
+    assert_eq!(harness.answer(1), None);
 }
 
-// Upstreams of the large kind were replaced one after the other. While the last of them was
-// away, jobs that fit only there were answered as failed, as if nothing could ever run them.
+// Upstreams of the large kind were replaced one after the other. While the last of them was away,
+// jobs that fit only there were answered as failed, as if no upstream could ever run them.
 #[test]
-fn a_job_whose_only_fitting_upstream_is_away_is_refused_and_not_called_failed() {
-    let mut world = World::new(1);
-    let large = crate::world::agent(1);
-    world.add(large.clone());
+fn a_job_whose_only_fitting_upstream_is_away_is_refused_and_not_failed() {
+    let mut harness = Harness::new(1);
+    let large = crate::harness::agent(1);
+    harness.add_agent(large.clone());
     let upstream = cassiarock_transient::message::Upstream {
         id: "u-large".into(),
         born: None,
@@ -125,12 +125,12 @@
         is_leaving: false,
     };
     let message = cassiarock_transient::Message::Upstream(Some(upstream));
-    world.tell(&large, message);
-    world.beat();
-    world.scheduler.unlink(&large);
-    world.pass(1_500);
-    submit_large(&mut world, 1);
-    let answer = world.answer(1);
+    harness.deliver(&large, message);
+    harness.heartbeat_all();
+    harness.scheduler.unlink(&large);
+    harness.advance(1_500);
+    submit_large(&mut harness, 1);
+    let answer = harness.answer(1);
     assert!(
         matches!(
             answer,
@@ -143,18 +143,18 @@
     );
 }
 
-/// Submits a job of one task that is larger than the usual upstream.
-fn submit_large(world: &mut World, number: u64) {
-    let mut job = crate::world::job(number, 1, 50);
+/// Submits a job of one task that is larger than the capacity of the usual upstream.
+fn submit_large(harness: &mut Harness, number: u64) {
+    let mut job = crate::harness::job(number, 1, 50);
     job.stages[0].demand.cpu = 11_000;
-    world.submit_job(number, job, 2_000);
+    harness.submit_job(number, job, 2_000);
 }
 
 #[test]
 fn a_job_without_any_upstream_is_refused_at_once() {
-    let mut world = World::new(0);
-    world.submit(1, 1, 50, 2_000);
-    let answer = world.answer(1);
+    let mut harness = Harness::new(0);
+    harness.submit(1, 1, 50, 2_000);
+    let answer = harness.answer(1);
     assert!(
         matches!(answer, Some(Answer::Refused { is_overload: false, retry_after }) if retry_after >= ms(1_000)),
         "{answer:?}"
@@ -163,10 +163,10 @@
 
 #[test]
 fn the_tasks_of_a_caller_that_left_are_stopped() {
-    let mut world = World::new(1);
-    world.submit(1, 3, 50, 2_000);
-    let actions = world.scheduler.abandon(1, "its caller left", world.now);
-    assert_eq!(world.scheduler.job_count(), 0);
+    let mut harness = Harness::new(1);
+    harness.submit(1, 3, 50, 2_000);
+    let actions = harness.scheduler.abandon(1, "its caller left", harness.now);
+    assert_eq!(harness.scheduler.job_count(), 0);
     let halts = actions.iter().filter(|action| {
         matches!(action, cassiarock_transient::scheduler::Action::Send(_, cassiarock_transient::Message::Halt(attempts)) if attempts.len() == 3)
     });
--- a/crates/cassiarock-transient/tests/scheduler/crashes.rs
+++ b/crates/cassiarock-transient/tests/scheduler/crashes.rs
@@ -1,69 +1,69 @@
-//! Tasks that crash the upstreams that run them.
+//! Tasks that crash their upstreams.
 
-use crate::world::{ROOM, World, agent, ms};
+use crate::harness::{CAPACITY, Harness, agent, ms};
 use cassiarock_id::Process;
 use cassiarock_transient::message::{End, Ending, Load, Message};
 use cassiarock_transient::scheduler::Answer;
 use std::collections::BTreeSet;
 
-/// The upstream of an agent crashes, and is back at once with all its room.
-fn crash(world: &mut World, agent: &Process) {
-    let (lost, kept): (Vec<_>, Vec<_>) = world
+/// Crashes the upstream of an agent. It is back at once with its whole capacity free.
+fn crash(harness: &mut Harness, agent: &Process) {
+    let (lost, kept): (Vec<_>, Vec<_>) = harness
         .placed
         .drain(..)
         .partition(|task| task.agent == *agent);
-    world.placed = kept;
+    harness.placed = kept;
     let endings = lost.iter().map(|task| Ending {
         attempt: task.attempt,
         end: End::Crashed,
         ran: ms(10),
     });
     let message = Message::Ended {
-        clock: u64::try_from(world.now.as_millis()).unwrap(),
+        clock: u64::try_from(harness.now.as_millis()).unwrap(),
         endings: endings.collect(),
         load: Load {
             seen: u64::MAX,
-            free: ROOM,
+            free: CAPACITY,
             pace: 100,
             ..Load::default()
         },
     };
-    world.tell(agent, message);
-    world.poll();
+    harness.deliver(agent, message);
+    harness.poll();
 }
 
-fn place_of(world: &World, number: u64) -> Option<Process> {
-    let mut placed = world.placed.iter();
+fn agent_of(harness: &Harness, number: u64) -> Option<Process> {
+    let mut placed = harness.placed.iter();
     let found = placed.find(|task| task.attempt.number == number);
     found.map(|task| task.agent.clone())
 }
 
-// A task crashed each upstream that started it. It was placed again for as long as its job lived
-// and took one upstream after the other down, each with the ten tasks beside it.
+// A task that crashed each upstream that started it was placed again until its job ended. It
+// crashed one upstream after the other, each with the ten tasks beside it.
 #[test]
 fn a_task_under_which_two_upstreams_have_crashed_is_given_up() {
-    let mut world = World::new(6);
-    world.submit(1, 1, 400, 9_000);
+    let mut harness = Harness::new(6);
+    harness.submit(1, 1, 400, 9_000);
     let mut crashed = Vec::new();
-    while let Some(agent) = place_of(&world, 1) {
-        world.pass(800);
-        crash(&mut world, &agent);
+    while let Some(agent) = agent_of(&harness, 1) {
+        harness.advance(800);
+        crash(&mut harness, &agent);
         crashed.push(agent);
         assert!(crashed.len() <= 2, "{crashed:?}");
     }
-    assert_eq!(world.answer(1), Some(Answer::Failed));
+    assert_eq!(harness.answer(1), Some(Answer::Failed));
 }
 
-// The ten tasks that ran beside it were suspects as well. Put together on one upstream again, all
-// of them would have been given up with its next crash.
+// The ten tasks that ran beside the crashing one are suspects as well. If they were placed together
+// on one upstream again, all of them would be given up with its next crash.
 #[test]
-fn no_two_suspects_of_a_crash_run_on_one_upstream_and_the_innocent_ones_end() {
-    let mut world = World::new(12);
+fn no_two_suspects_of_a_crash_share_an_upstream_and_only_the_culprit_fails() {
+    let mut harness = Harness::new(12);
     let victim = agent(0);
     for number in 1..=100 {
-        world.submit(number, 1, 400, 9_000);
+        harness.submit(number, 1, 400, 9_000);
     }
-    let suspects: BTreeSet<u64> = world
+    let suspects: BTreeSet<u64> = harness
         .placed
         .iter()
         .filter(|task| task.agent == victim)
@@ -71,90 +71,90 @@
         .collect();
     assert!(suspects.len() > 3, "{suspects:?}");
     let culprit = *suspects.first().unwrap();
-    for task in world.placed.clone() {
+    for task in harness.placed.clone() {
         if task.agent != victim {
-            world.end(task.attempt, End::Done);
+            harness.end(task.attempt, End::Done);
         }
     }
-    crash(&mut world, &victim);
-    world.pass(600);
+    crash(&mut harness, &victim);
+    harness.advance(600);
     let places: Vec<Process> = suspects
         .iter()
-        .filter_map(|of| place_of(&world, *of))
+        .filter_map(|of| agent_of(&harness, *of))
         .collect();
     let distinct: BTreeSet<&Process> = places.iter().collect();
     assert_eq!(
         (places.len(), distinct.len()),
         (suspects.len(), suspects.len())
     );
-    let second = place_of(&world, culprit).unwrap();
-    crash(&mut world, &second);
-    assert_eq!(world.answer(culprit), Some(Answer::Failed));
-    for task in world.placed.clone() {
-        world.end(task.attempt, End::Done);
+    let second = agent_of(&harness, culprit).unwrap();
+    crash(&mut harness, &second);
+    assert_eq!(harness.answer(culprit), Some(Answer::Failed));
+    for task in harness.placed.clone() {
+        harness.end(task.attempt, End::Done);
     }
     for innocent in suspects.iter().filter(|number| **number != culprit) {
         assert_eq!(
-            world.answer(*innocent),
+            harness.answer(*innocent),
             Some(Answer::Completed),
             "{innocent}"
         );
     }
 }
 
-// A rack lost its power, came back and lost it again. Everything that had run there twice was
-// taken for what had crashed it.
+// A rack lost power, came back and lost power again. Every task that had run there twice was
+// suspected of crashing it.
 #[test]
-fn upstreams_that_are_lost_at_one_moment_make_no_task_a_suspect() {
-    let mut world = World::new(12);
-    world.submit(1, 60, 400, 9_000);
+fn upstreams_that_are_lost_together_make_no_task_a_suspect() {
+    let mut harness = Harness::new(12);
+    harness.submit(1, 60, 400, 9_000);
     for _ in 0..3 {
         let rack: BTreeSet<Process> = (0..4).map(agent).collect();
         for lost in &rack {
-            crash(&mut world, lost);
+            crash(&mut harness, lost);
         }
-        world.pass(600);
+        harness.advance(600);
     }
-    assert_eq!(world.answer(1), None);
-    for task in world.placed.clone() {
-        world.end(task.attempt, End::Done);
+    assert_eq!(harness.answer(1), None);
+    for task in harness.placed.clone() {
+        harness.end(task.attempt, End::Done);
     }
-    assert_eq!(world.answer(1), Some(Answer::Completed));
+    assert_eq!(harness.answer(1), Some(Answer::Completed));
 }
 
-// The caller of a job that crashed two upstreams had not heard the answer and sent it again. It
-// began to crash upstreams anew.
+// The caller of a job that had crashed two upstreams did not receive the answer and submitted the
+// job again, and it crashed upstreams again.
 #[test]
-fn a_job_that_comes_again_is_known_by_its_crashes() {
-    let mut world = World::new(6);
-    world.submit(1, 1, 400, 9_000);
+fn the_crashes_of_a_job_are_remembered_when_it_is_submitted_again() {
+    let mut harness = Harness::new(6);
+    harness.submit(1, 1, 400, 9_000);
     for _ in 0..2 {
-        let agent = place_of(&world, 1).unwrap();
-        world.pass(800);
-        crash(&mut world, &agent);
+        let agent = agent_of(&harness, 1).unwrap();
+        harness.advance(800);
+        crash(&mut harness, &agent);
     }
-    let job = crate::world::job(1, 1, 400);
-    world.submit_job(2, job, 9_000);
-    assert_eq!(world.answer(2), Some(Answer::Failed));
-    assert!(world.placed.is_empty());
+    let job = crate::harness::job(1, 1, 400);
+    harness.submit_job(2, job, 9_000);
+    assert_eq!(harness.answer(2), Some(Answer::Failed));
+    assert!(harness.placed.is_empty());
 }
 
 // A crash left more suspects than there are other upstreams. They ran one after the other, and all
 // but the first were late.
 #[test]
-fn suspects_share_upstreams_only_where_each_has_one_and_wait_for_none() {
-    let mut world = World::new(2);
-    world.submit(1, 8, 400, 9_000);
-    let first = place_of(&world, 1).unwrap();
-    let lost = world
+fn suspects_share_upstreams_rather_than_wait_if_there_are_too_few() {
+    let mut harness = Harness::new(2);
+    harness.submit(1, 8, 400, 9_000);
+    let first = agent_of(&harness, 1).unwrap();
+    let lost = harness
         .placed
         .iter()
         .filter(|task| task.agent == first)
         .count();
-    crash(&mut world, &first);
-    world.pass(50);
-    assert_eq!(world.placed.len(), 8);
-    let other = world
+    crash(&mut harness, &first);
+    harness.advance(50);
+    assert_eq!(harness.placed.len(), 8);
+    let other = harness
         .placed
         .iter()
         .filter(|task| task.agent != first)
--- a/crates/cassiarock-transient/tests/scheduler/world.rs
+++ b/crates/cassiarock-transient/tests/scheduler/harness.rs
@@ -1,4 +1,4 @@
-//! An entry with agents that do as they are told.
+//! A harness for the scheduler: an entry with agents that start every task they are ordered to.
 
 use cassiarock_id::Process;
 use cassiarock_transient::message::{Attempt, End, Ending, Load, Order, Upstream};
@@ -8,20 +8,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The room of each upstream: ten tasks.
-pub const ROOM: Resources = Resources::new(10_000, 1_000, 0);
+/// The capacity of each upstream: room for ten tasks.
+pub const CAPACITY: Resources = Resources::new(10_000, 1_000, 0);
 
-/// Where agents are that no test puts elsewhere.
+/// The data centre of all agents.
 pub const DATA_CENTRE: &str = "dc-1";
 
-/// What each task takes.
-pub const TASK: Resources = Resources::new(1_000, 64, 0);
+/// The demand of each task.
+pub const TASK_DEMAND: Resources = Resources::new(1_000, 64, 0);
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A task at an agent.
+/// An attempt that an agent was ordered to start.
 #[derive(Clone, Debug)]
 pub struct Placed {
     pub agent: Process,
@@ -29,32 +29,36 @@
     pub at: Duration,
 }
 
-/// An entry and what it has said so far.
-pub struct World {
+/// The scheduler of an entry with simulated agents, and the actions it has taken so far.
+pub struct Harness {
     pub scheduler: Scheduler,
     pub now: Duration,
+    /// The attempts that run.
     pub placed: Vec<Placed>,
+    /// The attempts that were ordered to stop.
     pub halted: Vec<Attempt>,
+    /// The answer to each job, and when it was given.
     pub answers: BTreeMap<u64, (Answer, Duration)>,
-    seen: BTreeMap<Process, u64>,
+    /// The serial number of the last orders that each agent received.
+    serials: BTreeMap<Process, u64>,
 }
 
-impl World {
-    /// An entry with so many agents, all linked and empty.
+impl Harness {
+    /// Creates an entry with so many agents, all linked and idle.
     pub fn new(agents: usize) -> Self {
-        let mut world = Self {
+        let mut harness = Self {
             now: ms(1_000),
             ..Self::starting()
         };
         for number in 0..agents {
-            world.add(agent(number));
+            harness.add_agent(agent(number));
         }
-        world.beat();
-        world.poll();
-        world
+        harness.heartbeat_all();
+        harness.poll();
+        harness
     }
 
-    /// An entry that has just started and knows no agent.
+    /// Creates an entry that has just started and knows no agent.
     pub fn starting() -> Self {
         Self {
             scheduler: Scheduler::new(),
@@ -62,52 +66,53 @@
             placed: Vec::new(),
             halted: Vec::new(),
             answers: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            serials: BTreeMap::new(),
         }
     }
 
-    /// Links an agent with an empty upstream.
-    pub fn add(&mut self, agent: Process) {
+    /// Links an agent with an idle upstream.
+    pub fn add_agent(&mut self, agent: Process) {
         self.scheduler.link(&agent, &DATA_CENTRE.into(), self.now);
         let upstream = Upstream {
             id: format!("u-{}", agent.name).into(),
             born: None,
             service: "s".into(),
-            capacity: ROOM,
+            capacity: CAPACITY,
             labels: vec![],
             is_leaving: false,
         };
-        self.tell(&agent, Message::Upstream(Some(upstream)));
+        self.deliver(&agent, Message::Upstream(Some(upstream)));
     }
 
-    pub fn tell(&mut self, agent: &Process, message: Message) {
+    /// Delivers a message of an agent to the entry.
+    pub fn deliver(&mut self, agent: &Process, message: Message) {
         let actions = self.scheduler.handle_message(agent, message, self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// Heartbeats of all agents.
-    pub fn beat(&mut self) {
+    /// Delivers a heartbeat of each linked agent.
+    pub fn heartbeat_all(&mut self) {
         let agents: Vec<Process> = self.scheduler.linked_agents().cloned().collect();
         for agent in agents {
-            self.beat_of(&agent, ROOM);
+            self.heartbeat_of(&agent, CAPACITY);
         }
     }
 
-    /// A heartbeat of one agent, with so much room besides what this entry has placed.
-    pub fn beat_of(&mut self, agent: &Process, room: Resources) {
+    /// Delivers a heartbeat of one agent, whose free room is `room` less the tasks of this entry.
+    pub fn heartbeat_of(&mut self, agent: &Process, room: Resources) {
         let load = self.load(agent, room);
         let message = Message::AgentBeat {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
             load,
         };
-        self.tell(agent, message);
+        self.deliver(agent, message);
     }
 
     fn load(&self, agent: &Process, room: Resources) -> Load {
         let here = self.placed.iter().filter(|task| task.agent == *agent);
         Load {
-            seen: self.seen.get(agent).copied().unwrap_or_default(),
-            free: here.fold(room, |free, _| free.saturating_sub(&TASK)),
+            seen: self.serials.get(agent).copied().unwrap_or_default(),
+            free: here.fold(room, |free, _| free.saturating_sub(&TASK_DEMAND)),
             failing: 0,
             pace: 100,
             entries: 1,
@@ -119,8 +124,8 @@
         self.submit_job(number, job(number, tasks, estimate), patience);
     }
 
-    /// Submits a job of a queue with this priority, of tasks of 400 ms.
-    pub fn submit_of(&mut self, number: u64, tasks: u32, priority: u32) {
+    /// Submits a job of 400 ms tasks on a route with this priority.
+    pub fn submit_priority(&mut self, number: u64, tasks: u32, priority: u32) {
         let class = JobClass {
             priority,
             route: format!("r-{priority}").into(),
@@ -131,7 +136,7 @@
         let actions = self
             .scheduler
             .submit(number, job, class, ms(3_000), self.now);
-        self.take(actions);
+        self.apply(actions);
         self.poll();
     }
 
@@ -139,25 +144,25 @@
         let actions = self
             .scheduler
             .submit(number, job, class(), ms(patience), self.now);
-        self.take(actions);
+        self.apply(actions);
         self.poll();
     }
 
     pub fn poll(&mut self) {
         let actions = self.scheduler.poll(self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// Lets time pass, with heartbeats.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances the time, with heartbeats of all agents.
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now += ms(10);
-            self.beat();
+            self.heartbeat_all();
             self.poll();
         }
     }
 
-    /// An attempt ends.
+    /// Ends a running attempt.
     pub fn end(&mut self, attempt: Attempt, end: End) {
         let at = self.placed.iter().position(|task| task.attempt == attempt);
         let task = self.placed.remove(at.unwrap());
@@ -169,9 +174,9 @@
         let message = Message::Ended {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
             endings: vec![ending],
-            load: self.load(&task.agent, ROOM),
+            load: self.load(&task.agent, CAPACITY),
         };
-        self.tell(&task.agent, message);
+        self.deliver(&task.agent, message);
         self.poll();
     }
 
@@ -179,13 +184,13 @@
         self.answers.get(&number).map(|(answer, _)| *answer)
     }
 
-    pub fn take(&mut self, actions: Vec<Action>) {
+    pub fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(agent, Message::Orders { serial, orders, .. }) => {
-                    self.seen.insert(agent.clone(), serial);
+                    self.serials.insert(agent.clone(), serial);
                     for order in orders {
-                        self.place(&agent, &order);
+                        self.record_start(&agent, &order);
                     }
                 }
                 Action::Send(_, Message::Halt(attempts)) => {
@@ -201,7 +206,7 @@
         }
     }
 
-    fn place(&mut self, agent: &Process, order: &Order) {
+    fn record_start(&mut self, agent: &Process, order: &Order) {
         for start in &order.tasks {
             self.placed.push(Placed {
                 agent: agent.clone(),
@@ -235,25 +240,25 @@
         spec: "what to do".into(),
         stages: vec![Stage {
             task_count: tasks,
-            demand: TASK,
+            demand: TASK_DEMAND,
             estimate: ms(estimate),
             ..Stage::default()
         }],
     }
 }
 
-/// What a full or faulty agent says.
-impl World {
-    /// All agents say that they have no room.
-    pub fn tell_full(&mut self) {
+/// Messages of full or faulty agents.
+impl Harness {
+    /// Delivers heartbeats of all agents without any free room.
+    pub fn report_full(&mut self) {
         let agents: Vec<Process> = self.scheduler.linked_agents().cloned().collect();
         for agent in agents {
-            self.beat_of(&agent, Resources::default());
+            self.heartbeat_of(&agent, Resources::default());
         }
     }
 
-    /// An order is turned away for want of room.
-    pub fn end_full(&mut self, attempt: Attempt) {
+    /// Ends an attempt whose order was refused for lack of room.
+    pub fn refuse_full(&mut self, attempt: Attempt) {
         let at = self.placed.iter().position(|task| task.attempt == attempt);
         let task = self.placed.remove(at.unwrap());
         let ending = Ending {
@@ -261,57 +266,57 @@
             end: End::Full,
             ran: Duration::ZERO,
         };
-        self.tell_full();
+        self.report_full();
         let message = Message::Ended {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
             endings: vec![ending],
             load: self.load(&task.agent, Resources::default()),
         };
-        self.tell(&task.agent, message);
+        self.deliver(&task.agent, message);
         self.poll();
     }
 
-    /// Lets time pass with all agents full.
-    pub fn pass_full(&mut self, millis: u64) {
+    /// Advances the time with all agents full.
+    pub fn advance_full(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now += ms(10);
-            self.tell_full();
+            self.report_full();
             self.poll();
         }
     }
 
-    /// A heartbeat of an agent whose upstream fails this share of its tasks.
-    pub fn beat_with(&mut self, agent: &Process, failing: u8) {
+    /// Delivers a heartbeat of an agent whose upstream fails this percentage of its tasks.
+    pub fn heartbeat_failing(&mut self, agent: &Process, failing: u8) {
         let load = Load {
             failing,
-            ..self.load(agent, ROOM)
+            ..self.load(agent, CAPACITY)
         };
-        self.beat_load(agent, load);
+        self.heartbeat_load(agent, load);
     }
 
-    /// A heartbeat of an agent whose upstream works at this pace.
-    pub fn beat_paced(&mut self, agent: &Process, pace: u16) {
+    /// Delivers a heartbeat of an agent whose upstream has this pace.
+    pub fn heartbeat_paced(&mut self, agent: &Process, pace: u16) {
         let load = Load {
             pace,
-            ..self.load(agent, ROOM)
+            ..self.load(agent, CAPACITY)
         };
-        self.beat_load(agent, load);
+        self.heartbeat_load(agent, load);
     }
 
-    fn beat_load(&mut self, agent: &Process, load: Load) {
+    fn heartbeat_load(&mut self, agent: &Process, load: Load) {
         let clock = u64::try_from(self.now.as_millis()).unwrap();
         let message = Message::AgentBeat { clock, load };
-        self.tell(agent, message);
+        self.deliver(agent, message);
     }
 
-    /// An agent tells of an end of its own.
-    pub fn tell_ended(&mut self, agent: &Process, ending: Ending) {
+    /// Delivers the end of an attempt as an agent reports it.
+    pub fn report_ending(&mut self, agent: &Process, ending: Ending) {
         let message = Message::Ended {
             clock: u64::try_from(self.now.as_millis()).unwrap(),
             endings: vec![ending],
-            load: self.load(agent, ROOM),
+            load: self.load(agent, CAPACITY),
         };
-        self.tell(agent, message);
+        self.deliver(agent, message);
         self.poll();
     }
 }
--- a/crates/cassiarock-transient/tests/scheduler/main.rs
+++ b/crates/cassiarock-transient/tests/scheduler/main.rs
@@ -1,4 +1,4 @@
-//! What callers get of an entry's decisions.
+//! Tests of the scheduler of an entry against simulated agents.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -6,7 +6,7 @@
 mod ask;
 mod burst;
 mod crashes;
+mod harness;
 mod losses;
 mod order;
 mod reserve;
-mod world;
