--- a/crates/cassiarock-dispatch/src/agent.rs
+++ b/crates/cassiarock-dispatch/src/agent.rs
@@ -1,6 +1,6 @@
 //! The agent's actor: a host with its links and its upstream.
 
-use crate::line::tell;
+use crate::decision_log::log_decision;
 use crate::links::send;
 use crate::mesh::{Mesh, Retired};
 use crate::orders::Orders;
@@ -286,7 +286,7 @@
                         self.orders.poll_now(poll);
                     }
                 }
-                Action::Tell(decision) => tell(&decision),
+                Action::Tell(decision) => log_decision(&decision),
             }
         }
     }
--- a/crates/cassiarock-dispatch/src/line.rs
+++ b/crates/cassiarock-dispatch/src/decision_log.rs
@@ -1,13 +1,13 @@
-//! Decisions as lines of the log.
+//! Writes the decisions of schedulers and hosts to the log.
 
 use cassiarock_transient::Decision;
 use log::kv::{Error, Key, Source, Value, VisitSource};
 use log::{Level, Record};
 
-/// The target of lines that tell of decisions.
+/// The log target of decisions.
 const TARGET: &str = "cassiarock::decision";
 
-/// The pairs of a decision's line.
+/// The key-value pairs of a decision's log record.
 struct Pairs<'a>(&'a Decision);
 
 impl Source for Pairs<'_> {
@@ -31,8 +31,8 @@
     }
 }
 
-/// Writes the line of a decision and counts it.
-pub(crate) fn tell(decision: &Decision) {
+/// Counts a decision and writes it to the log.
+pub(crate) fn log_decision(decision: &Decision) {
     metrics::counter!("cassiarock_decisions_total", "what" => decision.what).increment(1);
     let level = if decision.is_failure {
         Level::Warn
--- a/crates/cassiarock-dispatch/src/directory.rs
+++ b/crates/cassiarock-dispatch/src/directory.rs
@@ -1,7 +1,7 @@
-//! Where entries take links: a topic of our own on the platform's store.
+//! The directory of entries: a topic of the platform's store with the link address of each entry.
 
 use crate::agent::Input;
-use crate::follow::{Feed, News, follow};
+use crate::follow::{Subscription, TopicEvent, follow};
 use cassiarock_adapter::store::{KeyedRecord, Partition, encode_keyed};
 use cassiarock_adapter::{Error, Store};
 use cassiarock_id::{Name, Process, Wall};
@@ -12,86 +12,91 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Each entry has one record, by its address: its process, its data centre and when it started.
+/// The topic with one record per entry, whose key is the entry's address. Its value is the process,
+/// its data centre and when it started.
 const TOPIC: &str = "keyed.entries";
 
-/// When each entry last said that it is still there, by its address. Nobody follows this topic:
+/// The topic in which entries renew their records, by their address. No process follows it, because
 /// a renewal changes nothing for those that know the entry.
-const RENEWED: Partition<'static> = Partition {
+const RENEWALS: Partition<'static> = Partition {
     topic: "keyed.renewed",
     number: 0,
 };
 
-const PART: Partition<'static> = Partition {
+const ENTRIES: Partition<'static> = Partition {
     topic: TOPIC,
     number: 0,
 };
 
-/// How often an entry says that it is still there.
-const RENEWAL: Duration = Duration::from_secs(600);
+/// The pause between two renewals of an entry's record.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(600);
 
-/// An entry that has not said so for this long, three renewals, has been replaced. The clocks
-/// of VMs may be some seconds apart.
-const GONE: Duration = Duration::from_secs(1_800);
+/// Age at which a record expires, three renewals: its entry has been replaced. The clocks of VMs
+/// may differ by some seconds.
+const EXPIRY: Duration = Duration::from_secs(1_800);
 
-/// Announces an entry, again and again, and clears away the records of those that are gone.
+/// Adds an entry to the directory, renews its record at intervals and deletes expired records,
+/// until the process ends.
 ///
-/// It guards against records that pile up: a VM that is replaced comes back at another address,
-/// and agents dial every address on record, so that in the end they would have no dial left
-/// for those that live.
+/// Without the deletion, records would accumulate: a replaced VM comes back at another address, and
+/// agents dial every address in the directory, so that in the end no dials would be left for the
+/// entries that run.
 pub(crate) async fn announce(store: Store, place: Place, process: Process) {
-    put(&store, PART, &place, &process).await;
+    put_record(&store, ENTRIES, &place, &process).await;
     loop {
-        put(&store, RENEWED, &place, &process).await;
-        // What is left is found at the next renewal, of any entry.
-        if let Err(error) = clear(&store).await {
+        put_record(&store, RENEWALS, &place, &process).await;
+        // Records that remain are deleted after the next renewal of any entry.
+        if let Err(error) = delete_expired(&store).await {
             log::warn!("clear the directory of entries: {error}");
         }
-        tokio::time::sleep(RENEWAL).await;
+        tokio::time::sleep(RENEWAL_INTERVAL).await;
     }
 }
 
-/// Puts the record of an entry, trying until the store takes it.
-async fn put(store: &Store, part: Partition<'_>, place: &Place, process: &Process) {
+/// Writes the record of an entry, retrying until the store accepts it.
+async fn put_record(store: &Store, partition: Partition<'_>, place: &Place, process: &Process) {
     let mut backoff = Backoff::default();
     loop {
         let now = Wall::now().as_millis();
         let value = format!("{process} {} {now}", place.data_centre);
         let record = encode_keyed(&place.address, value.as_bytes());
-        match store.append(part, &record, None).await {
+        match store.append(partition, &record, None).await {
             Ok(offset) => {
-                log::info!(address = place.address, topic = part.topic, offset = offset; "announced");
+                log::info!(address = place.address, topic = partition.topic, offset = offset; "announced");
                 return;
             }
-            // A second record of the same key does no harm.
+            // The append may have taken effect. A second record of the same key does no harm.
             Err(error) => {
-                log::warn!("announce: {error}");
+                log::warn!("cannot announce this entry: {error}");
                 tokio::time::sleep(backoff.fail(rand::random())).await;
             }
         }
     }
 }
 
-/// Deletes the records of entries that are gone. Each deletion holds only if nothing has been
-/// written since the records were read: an order that the store carries out seconds late
-/// cannot delete the record of an entry that has come back at that address.
-async fn clear(store: &Store) -> Result<(), Error> {
-    let (renewed, _) = store.read_newest(RENEWED).await?;
-    let renewed: HashMap<&str, &KeyedRecord> = renewed.iter().map(|at| (&*at.key, at)).collect();
-    let (entries, mut end) = store.read_newest(PART).await?;
+/// Deletes the expired records. Each deletion takes effect only if nothing has been written since
+/// the records were read, so that an append that the store carries out seconds late cannot delete
+/// the record of an entry that has come back at that address.
+async fn delete_expired(store: &Store) -> Result<(), Error> {
+    let (renewals, _) = store.read_newest(RENEWALS).await?;
+    let renewals: HashMap<&str, &KeyedRecord> = renewals
+        .iter()
+        .map(|renewal| (&*renewal.key, renewal))
+        .collect();
+    let (records, mut end) = store.read_newest(ENTRIES).await?;
     let now = Wall::now();
-    let is_gone = |entry: &&KeyedRecord| {
-        let renewed = renewed.get(&*entry.key);
-        is_old(entry, now) && renewed.is_none_or(|renewed| is_old(renewed, now))
+    let is_gone = |record: &&KeyedRecord| {
+        let renewal = renewals.get(&*record.key);
+        is_expired(record, now) && renewal.is_none_or(|renewal| is_expired(renewal, now))
     };
-    for entry in entries.iter().filter(is_gone) {
+    for record in records.iter().filter(is_gone) {
         match store
-            .append(PART, &encode_keyed(&entry.key, b""), Some(end))
+            .append(ENTRIES, &encode_keyed(&record.key, b""), Some(end))
             .await
         {
             Ok(offset) => {
                 end = offset + 1;
-                log::info!(address = entry.key, offset = offset; "cleared");
+                log::info!(address = record.key, offset = offset; "cleared");
             }
             Err(error) if error.is_precondition_failed() => return Ok(()),
             Err(error) => return Err(error),
@@ -100,19 +105,20 @@
     Ok(())
 }
 
-/// Whether the record was written too long ago. One of another writer says no time, and stays.
-fn is_old(entry: &KeyedRecord, now: Wall) -> bool {
-    let value = std::str::from_utf8(&entry.value).unwrap_or_default();
-    let renewed = value.rsplit([' ', '#']).next();
-    let renewed = renewed.and_then(|millis| millis.parse().ok());
-    renewed.is_some_and(|millis| now.since(Wall::from_millis(millis)) > GONE)
+/// Whether the record was written too long ago. One without a time, which another writer must have
+/// written, never expires.
+fn is_expired(record: &KeyedRecord, now: Wall) -> bool {
+    let value = std::str::from_utf8(&record.value).unwrap_or_default();
+    let written = value.rsplit([' ', '#']).next();
+    let written = written.and_then(|millis| millis.parse().ok());
+    written.is_some_and(|millis| now.since(Wall::from_millis(millis)) > EXPIRY)
 }
 
-fn place(entry: &KeyedRecord) -> Place {
-    Place::new(&*entry.key, data_centre(&entry.value))
+fn endpoint(record: &KeyedRecord) -> Place {
+    Place::new(&*record.key, data_centre(&record.value))
 }
 
-/// The data centre in a record of an entry; empty if it says none.
+/// The data centre in the value of an entry's record; empty if there is none.
 fn data_centre(value: &[u8]) -> Name {
     let value = std::str::from_utf8(value).unwrap_or_default();
     let parts: Vec<&str> = value.split(' ').collect();
@@ -122,67 +128,72 @@
     }
 }
 
-/// Records of 60 bytes, each of which counts: one that drops a key ends the dials to it. Entries
-/// that start together are read together.
-const FEED: Feed = Feed {
+/// Records have 60 bytes, and none is skipped, because a deletion ends the dials to the address.
+/// The pause lets the records of entries that start together be read together.
+const SUBSCRIPTION: Subscription = Subscription {
     topic: TOPIC,
-    read_kb: 1024,
-    skips: false,
+    max_read_kb: 1024,
+    skips_to_newest: false,
     pause: Duration::from_millis(250),
 };
 
 /// The pause before an agent without any link reads the directory again.
-const UNLINKED: Duration = Duration::from_secs(5);
+const UNLINKED_PAUSE: Duration = Duration::from_secs(5);
 
-/// The pause before an agent that knows no entry at all reads the directory again.
-const UNKNOWN: Duration = Duration::from_millis(250);
+/// The pause before an agent that has found no entry in the directory reads it again.
+const EMPTY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Gives what changes in the directory, for ever: to an entry, which passes it on.
-pub(crate) async fn updates(store: Store, found: mpsc::UnboundedSender<Update>) {
-    let mut gathering = Gathering::default();
-    let tell = |update| {
-        if found.send(update).is_err() {
+/// Sends all changes of the directory to an entry, which passes them on to agents, until the
+/// process ends.
+pub(crate) async fn follow_updates(store: Store, updates: mpsc::UnboundedSender<Update>) {
+    let mut builder = Gathering::default();
+    let send = |update| {
+        if updates.send(update).is_err() {
             log::debug!("directory of entries: the process is ending");
         }
     };
-    follow(store, FEED, |news| match news {
-        News::Newest(entries, end) => {
-            tell(Update::all(end, entries.iter().map(place)));
+    follow(store, SUBSCRIPTION, |event| match event {
+        TopicEvent::Newest(records, end) => {
+            send(Update::all(end, records.iter().map(endpoint)));
         }
-        News::Record(offset, key, value) => {
+        TopicEvent::Record(offset, key, value) => {
             let data_centre = (!value.is_empty()).then(|| data_centre(value));
-            gathering.add(offset, key.into(), data_centre);
+            builder.add(offset, key.into(), data_centre);
         }
-        News::Read => gathering.take().into_iter().for_each(&tell),
+        TopicEvent::ReadCompleted => builder.take().into_iter().for_each(&send),
     })
     .await;
 }
 
-/// Reads the directory for an agent, at its start and whenever it has had no link for long. What
-/// changes later comes over its links.
+/// Reads the directory for an agent, at its start and again whenever it has no link, with a pause
+/// between reads. It receives later changes over its links.
 pub(crate) async fn bootstrap(
     store: Store,
-    found: mpsc::Sender<Input>,
+    inputs: mpsc::Sender<Input>,
     mut statuses: watch::Receiver<Status>,
 ) {
     let mut backoff = Backoff::default();
     loop {
-        let pause = match store.read_newest(PART).await {
-            Ok((entries, end)) => {
+        let pause = match store.read_newest(ENTRIES).await {
+            Ok((records, end)) => {
                 backoff.succeed();
-                let update = Update::all(end, entries.iter().map(place));
+                let update = Update::all(end, records.iter().map(endpoint));
                 let is_empty = update.present.is_empty();
-                if found.send(Input::Directory(update)).await.is_err() {
+                if inputs.send(Input::Directory(update)).await.is_err() {
                     return;
                 }
-                if is_empty { UNKNOWN } else { UNLINKED }
+                if is_empty {
+                    EMPTY_PAUSE
+                } else {
+                    UNLINKED_PAUSE
+                }
             }
             Err(error) => {
                 log::warn!(dependency = "store", topic = TOPIC; "lost: {error}");
                 backoff.fail(rand::random())
             }
         };
-        // Spread, as all agents lose their links at once with a data centre's network.
+        // Spreads the reads: with a data centre's network, all agents lose their links at once.
         tokio::time::sleep(pause.mul_f64(0.5 + rand::random::<f64>())).await;
         if statuses.wait_for(|status| status.links == 0).await.is_err() {
             return;
--- a/crates/cassiarock-dispatch/src/entry/calls.rs
+++ b/crates/cassiarock-dispatch/src/entry/calls.rs
@@ -1,7 +1,7 @@
 //! What callers ask of an entry.
 
 use super::Entry;
-use crate::learned::Record;
+use crate::learned::RoutePatience;
 use cassiarock_adapter::callers::Call;
 use cassiarock_transient::scheduler::{Action, Answer};
 use std::time::Duration;
@@ -60,7 +60,7 @@
     }
 
     /// Takes what is on record where little is known yet. Gives what is to be on record then.
-    pub(super) fn learned(&mut self, known: &Record) -> Record {
+    pub(super) fn learned(&mut self, known: &RoutePatience) -> RoutePatience {
         for (route, millis) in known {
             let least = Duration::from_millis(*millis);
             self.scheduler.adopt_patience(route, least);
--- a/crates/cassiarock-dispatch/src/entry/links.rs
+++ b/crates/cassiarock-dispatch/src/entry/links.rs
@@ -1,8 +1,8 @@
 //! Links of an entry: with agents, and with other entries.
 
 use super::Entry;
+use crate::compression::decompress;
 use crate::links::send;
-use crate::packed::unpack;
 use cassiarock_id::Process;
 use cassiarock_peer::Event;
 use cassiarock_transient::directory::{Place, Taken};
@@ -68,7 +68,7 @@
                 Vec::new()
             }
             (Role::Entry, Message::Configuration { packed, .. }) => {
-                match unpack(&packed) {
+                match decompress(&packed) {
                     Ok(text) => self.configure(&text, "another entry"),
                     Err(error) => {
                         log::warn!(from:% = peer.process; "configuration left out: {error}");
--- a/crates/cassiarock-dispatch/src/entry/mod.rs
+++ b/crates/cassiarock-dispatch/src/entry/mod.rs
@@ -5,7 +5,7 @@
 mod orders;
 mod report;
 
-use crate::learned::Record;
+use crate::learned::RoutePatience;
 use crate::mesh::Mesh;
 use cassiarock_adapter::Store;
 use cassiarock_adapter::callers::Call;
@@ -43,7 +43,7 @@
     /// What has changed in the directory of entries, from the store.
     Directory(directory::Update),
     /// What is on record of callers; asks for what this entry knows.
-    Learned(Record, oneshot::Sender<Record>),
+    Learned(RoutePatience, oneshot::Sender<RoutePatience>),
     /// Take no new jobs.
     Leave,
 }
--- a/crates/cassiarock-dispatch/src/entry/orders.rs
+++ b/crates/cassiarock-dispatch/src/entry/orders.rs
@@ -1,8 +1,8 @@
 //! Operators' orders in force at an entry, and how they are passed on.
 
 use super::Entry;
+use crate::compression::compress;
 use crate::links::send;
-use crate::packed::pack;
 use cassiarock_adapter::configuration;
 use cassiarock_id::{Name, Process, Wall};
 use cassiarock_transient::{Message, evacuation};
@@ -31,7 +31,7 @@
     pub(super) fn message(&mut self) -> io::Result<Message> {
         let packed = match self.packed.take() {
             Some(packed) => packed,
-            None => pack(&self.text)?,
+            None => compress(&self.text)?,
         };
         self.packed = Some(packed.clone());
         Ok(Message::Configuration {
--- a/crates/cassiarock-dispatch/src/entry/report.rs
+++ b/crates/cassiarock-dispatch/src/entry/report.rs
@@ -1,7 +1,7 @@
 //! What an entry does and shows.
 
 use super::Entry;
-use crate::line::tell;
+use crate::decision_log::log_decision;
 use crate::links::send;
 use cassiarock_process::Evacuation;
 use cassiarock_transient::scheduler::{Action, Answer, Stage};
@@ -20,7 +20,7 @@
                         let _ = caller.send(answer);
                     }
                 }
-                Action::Tell(decision) => tell(&decision),
+                Action::Tell(decision) => log_decision(&decision),
                 Action::Measure(stage, route, took) => {
                     let name = match stage {
                         Stage::Queue => "cassiarock_queue_seconds",
--- a/crates/cassiarock-dispatch/src/error.rs
+++ b/crates/cassiarock-dispatch/src/error.rs
@@ -1,19 +1,19 @@
-//! Why a process could not start or go on.
+//! Errors that keep a process from starting or end it.
 
-/// A listener or a client could not be set up, or a part of the process is gone.
+/// A listener or a client could not be set up, or a part of the process has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The platform's side.
+    /// An error of the platform's settings, clients or listeners.
     #[error(transparent)]
     Platform(#[from] cassiarock_adapter::Error),
-    /// The links between the system's own processes.
+    /// An error of the links between Cassiarock's own processes.
     #[error(transparent)]
     Links(#[from] cassiarock_peer::Error),
-    /// The settings lack an address that this role needs: give the role to machines of the
-    /// class that has it, and let the role serve it.
-    #[error("the settings name no address for {0}")]
+    /// The settings lack an address that this role needs. Assign the role to a class of VMs whose
+    /// settings contain the address, and let the role serve it.
+    #[error("the settings contain no address for {0}")]
     MissingAddress(&'static str),
-    /// A part of the process is gone.
+    /// A part of the process has ended.
     #[error(transparent)]
     Part(#[from] cassiarock_process::Fault),
 }
--- a/crates/cassiarock-dispatch/src/learned.rs
+++ b/crates/cassiarock-dispatch/src/learned.rs
@@ -1,7 +1,8 @@
-//! What entries have learned of callers, kept on the platform's store for their next lives.
+//! Stores what entries have learned about callers in the platform's store, for entries that start
+//! later.
 //!
-//! It guards the first second after a loss of all entries: half of the callers then have waited
-//! before they come, and an entry that knows nothing cannot tell which.
+//! It is needed in the first second after all entries were lost: half of the callers that then
+//! come have already been waiting, and an entry without this knowledge cannot tell which ones.
 
 use crate::entry::Input;
 use cassiarock_adapter::store::{Partition, encode_keyed};
@@ -11,78 +12,85 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// All routes are one record, which a new process reads in one call. Routes that the
-/// configuration has dropped stay in it.
-const PART: Partition<'static> = Partition {
+/// All routes share one record, so that a new process reads them in one call. Routes that have
+/// been removed from the configuration stay in the record.
+const PARTITION: Partition<'static> = Partition {
     topic: "keyed.learned",
     number: 0,
 };
 const KEY: &str = "patience";
 
-/// The pause between two looks at what is on record and what has been learned. Each costs a
-/// call to the store, and rarely a second one.
-const PAUSE: Duration = Duration::from_secs(10);
+/// The pause between two exchanges with the store. Each costs one call to the store, and rarely
+/// a second one.
+const INTERVAL: Duration = Duration::from_secs(10);
 
-/// The first pause: by then an entry knows the callers of its busy routes.
-const FIRST_PAUSE: Duration = Duration::from_secs(3);
+/// The pause after the first exchange, in which an entry gets to know the callers of its busy
+/// routes.
+const FIRST_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How far a figure has to be from the one on record to be written: the record is an estimate,
-/// and each entry's own differs by some hundredths.
-const DRIFT: f64 = 0.1;
+/// The relative change from the stored value from which on a value is written. The values are
+/// estimates, and those of different entries differ by some hundredths.
+const MIN_CHANGE: f64 = 0.1;
 
-/// The usual least patience of each route's callers, in milliseconds.
-pub(crate) type Record = BTreeMap<Name, u64>;
+/// The usual minimum patience of each route's callers, in milliseconds.
+pub(crate) type RoutePatience = BTreeMap<Name, u64>;
 
-/// Tells the entry what is on record, and puts on record what it has learned, for ever.
-pub(crate) async fn keep(store: Store, inputs: mpsc::Sender<Input>) {
-    let mut pause = FIRST_PAUSE;
+/// Passes the stored record to the entry and stores what the entry has learned, repeatedly until
+/// the process ends.
+pub(crate) async fn sync(store: Store, inputs: mpsc::Sender<Input>) {
+    let mut pause = FIRST_INTERVAL;
     loop {
         if let Err(error) = exchange(&store, &inputs).await {
-            log::warn!(dependency = "store"; "what callers usually wait was not exchanged: {error}");
+            log::warn!(dependency = "store"; "cannot exchange the usual patience of callers with the store: {error}");
         }
         tokio::time::sleep(pause).await;
-        pause = PAUSE;
+        pause = INTERVAL;
     }
 }
 
 async fn exchange(store: &Store, inputs: &mpsc::Sender<Input>) -> Result<(), Error> {
-    let (entries, _) = store.read_newest(PART).await?;
-    let newest = entries.iter().find(|entry| entry.key == KEY);
-    let known = newest.map(|entry| decode(&entry.value)).unwrap_or_default();
+    let (records, _) = store.read_newest(PARTITION).await?;
+    let newest = records.iter().find(|record| record.key == KEY);
+    let known = newest
+        .map(|record| decode(&record.value))
+        .unwrap_or_default();
     let (reply, learned) = oneshot::channel();
-    let told = inputs.send(Input::Learned(known.clone(), reply)).await;
-    let (Ok(()), Ok(learned)) = (told, learned.await) else {
-        // The entry is ending.
+    let sent = inputs.send(Input::Learned(known.clone(), reply)).await;
+    let (Ok(()), Ok(learned)) = (sent, learned.await) else {
+        // The entry's actor has ended.
         return Ok(());
     };
-    if !has_drifted(&known, &learned) {
-        log::debug!(routes = known.len(); "what callers usually wait has been read");
+    if !has_changed(&known, &learned) {
+        log::debug!(routes = known.len(); "the usual patience of callers is unchanged");
         return Ok(());
     }
     let value = match serde_json::to_vec(&learned) {
         Ok(value) => value,
-        // An empty value would delete the record.
+        // Appends nothing, because an empty value would delete the record.
         Err(error) => {
-            log::warn!("what callers usually wait was not put on record: {error}");
+            log::warn!("cannot encode the usual patience of callers: {error}");
             return Ok(());
         }
     };
-    store.append(PART, &encode_keyed(KEY, &value), None).await?;
+    store
+        .append(PARTITION, &encode_keyed(KEY, &value), None)
+        .await?;
     log::info!(before:? = known, now:? = learned; "what callers usually wait is on record");
     Ok(())
 }
 
-/// A record of another writer that cannot be read says nothing.
-fn decode(value: &[u8]) -> Record {
+/// Decodes the record. One that cannot be decoded, which another writer must have written, counts
+/// as empty.
+fn decode(value: &[u8]) -> RoutePatience {
     serde_json::from_slice(value).unwrap_or_else(|error| {
-        log::warn!("what callers usually wait was left out: {error}");
-        Record::new()
+        log::warn!("the stored patience of callers is ignored: {error}");
+        RoutePatience::new()
     })
 }
 
-fn has_drifted(known: &Record, learned: &Record) -> bool {
+fn has_changed(known: &RoutePatience, learned: &RoutePatience) -> bool {
     learned.iter().any(|(route, millis)| {
         let before = known.get(route).map(|before| *before as f64);
-        before.is_none_or(|before| (*millis as f64 / before - 1.0).abs() > DRIFT)
+        before.is_none_or(|before| (*millis as f64 / before - 1.0).abs() > MIN_CHANGE)
     })
 }
--- a/crates/cassiarock-dispatch/src/lib.rs
+++ b/crates/cassiarock-dispatch/src/lib.rs
@@ -1,17 +1,18 @@
-//! The entry and the agent for transient jobs on the users' platform: actors, links, listeners.
+//! Runs the entry and the agent for transient jobs on the users' platform, with their actors,
+//! links and listeners.
 
 mod agent;
+mod compression;
+mod decision_log;
 mod directory;
 mod entry;
 mod error;
 mod follow;
 mod learned;
-mod line;
 mod links;
 mod mesh;
 mod operator;
 mod orders;
-mod packed;
 mod reload;
 mod run;
 
--- a/crates/cassiarock-dispatch/src/operator.rs
+++ b/crates/cassiarock-dispatch/src/operator.rs
@@ -1,7 +1,7 @@
-//! Follows what operators order: the configuration, and the data centres to empty.
+//! Follows the operators' orders: the configuration, and the data centres to evacuate.
 
 use crate::entry::Input;
-use crate::follow::{Feed, News, follow};
+use crate::follow::{Subscription, TopicEvent, follow};
 use cassiarock_adapter::Store;
 use cassiarock_adapter::operator::{Order, TOPIC};
 use cassiarock_id::Name;
@@ -10,28 +10,29 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// A configuration of 1,700 routes is some 250 KB, a second of a link of 2 Mbit/s. Read one at
-/// a time, those that come while one is read and have been replaced by then are never read.
-const FEED: Feed = Feed {
+/// A configuration of 1,700 routes is some 250 KB, which takes a second over a link of 2 Mbit/s.
+/// Records are read one at a time, so that those written during a read and replaced before its end
+/// are never read.
+const SUBSCRIPTION: Subscription = Subscription {
     topic: TOPIC,
-    read_kb: 1,
-    skips: true,
+    max_read_kb: 1,
+    skips_to_newest: true,
     pause: Duration::ZERO,
 };
 
-/// All that operators order, as far as it has been read.
+/// The operators' orders that have been read.
 #[derive(Clone, Debug, Default)]
-struct Orders {
+struct OperatorOrders {
     configuration: Option<Name>,
     evacuations: evacuation::State,
 }
 
-impl Orders {
-    fn take(&mut self, news: News<'_>) {
-        match news {
-            News::Newest(entries, end) => {
+impl OperatorOrders {
+    fn apply(&mut self, event: TopicEvent<'_>) {
+        match event {
+            TopicEvent::Newest(records, end) => {
                 let mut evacuated = Vec::new();
-                for order in entries.iter().filter_map(Order::from_record) {
+                for order in records.iter().filter_map(Order::from_record) {
                     match order {
                         Order::Configuration(text) => self.configuration = Some(text),
                         Order::Evacuate(data_centre) => evacuated.push(data_centre),
@@ -40,40 +41,45 @@
                 }
                 self.evacuations = evacuation::State::new(end, evacuated);
             }
-            News::Record(offset, key, value) => match Order::decode(key, value) {
+            TopicEvent::Record(offset, key, value) => match Order::decode(key, value) {
                 Some(Order::Configuration(text)) => self.configuration = Some(text),
-                Some(Order::Evacuate(place)) => self.evacuations.fold(offset, place, true),
-                Some(Order::Restore(place)) => self.evacuations.fold(offset, place, false),
+                Some(Order::Evacuate(data_centre)) => {
+                    self.evacuations.fold(offset, data_centre, true)
+                }
+                Some(Order::Restore(data_centre)) => {
+                    self.evacuations.fold(offset, data_centre, false)
+                }
                 None => {}
             },
-            News::Read => {}
+            TopicEvent::ReadCompleted => {}
         }
     }
 }
 
-/// Tells the entry what operators order, for ever. An entry that is behind is told the newest
-/// orders only, but never none.
-pub(crate) async fn orders(store: Store, inputs: mpsc::Sender<Input>) {
-    let (known, changes) = watch::channel(Orders::default());
-    let following = follow(store, FEED, |news| {
-        known.send_modify(|orders| orders.take(news));
+/// Passes the operators' orders to the entry until the process ends. An entry that is behind gets
+/// only the newest orders, but always those.
+pub(crate) async fn follow_orders(store: Store, inputs: mpsc::Sender<Input>) {
+    let (known, changes) = watch::channel(OperatorOrders::default());
+    let following = follow(store, SUBSCRIPTION, |event| {
+        known.send_modify(|orders| orders.apply(event));
     });
-    tokio::join!(following, tell(changes, inputs));
+    tokio::join!(following, forward(changes, inputs));
 }
 
-async fn tell(mut changes: watch::Receiver<Orders>, inputs: mpsc::Sender<Input>) {
-    let mut told = Orders::default();
+async fn forward(mut changes: watch::Receiver<OperatorOrders>, inputs: mpsc::Sender<Input>) {
+    let mut sent = OperatorOrders::default();
     while changes.changed().await.is_ok() {
         let orders = changes.borrow_and_update().clone();
-        // Evacuations first: a new process must not use a data centre for the moment between.
-        if orders.evacuations != told.evacuations {
+        // Evacuations come before the configuration, so that a new process does not use an evacuated
+        // data centre in between.
+        if orders.evacuations != sent.evacuations {
             let input = Input::Evacuations(orders.evacuations.clone());
             if inputs.send(input).await.is_err() {
                 return;
             }
         }
         if let Some(text) = &orders.configuration
-            && !is_same(&told.configuration, text)
+            && !is_same_text(&sent.configuration, text)
             && inputs
                 .send(Input::Configuration(text.clone()))
                 .await
@@ -81,11 +87,11 @@
         {
             return;
         }
-        told = orders;
+        sent = orders;
     }
 }
 
-/// Whether it is the very text that was told, without reading it through.
-fn is_same(told: &Option<Name>, text: &Name) -> bool {
-    told.as_ref().is_some_and(|told| Arc::ptr_eq(told, text))
+/// Whether `text` is the text that was sent last. Compares the pointers, not the contents.
+fn is_same_text(sent: &Option<Name>, text: &Name) -> bool {
+    sent.as_ref().is_some_and(|sent| Arc::ptr_eq(sent, text))
 }
--- a/crates/cassiarock-dispatch/src/reload.rs
+++ b/crates/cassiarock-dispatch/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the process runs.
+//! Reloads the settings while the process runs.
 
 use cassiarock_adapter::Settings;
 use std::net::SocketAddr;
@@ -7,20 +7,21 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// The file may change without a signal; looking costs one read of a few KB.
-const LOOK: Duration = Duration::from_secs(2);
+/// The pause between two reads of the settings file, which may change without a signal. A read
+/// costs a few KB.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the settings again at each SIGHUP and now and then, and tells the entries that they
-/// name. A file that cannot be read changes nothing.
+/// Reads the settings at each SIGHUP and at intervals, and sends the seeds they contain to `seeds`
+/// when they have changed. A file that cannot be read changes nothing.
 pub(crate) async fn reload(file: PathBuf, mut known: Settings, seeds: mpsc::Sender<SocketAddr>) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        log::warn!("SIGHUP cannot be caught; the settings are read every two seconds");
+        log::warn!("cannot handle SIGHUP; the settings are not reloaded");
         return;
     };
     loop {
         let cause = tokio::select! {
             _ = hangup.recv() => "SIGHUP",
-            () = tokio::time::sleep(LOOK) => "a look",
+            () = tokio::time::sleep(CHECK_INTERVAL) => "periodic check",
         };
         let settings = match Settings::load(&file) {
             Ok(settings) => settings,
@@ -35,17 +36,18 @@
             }
             continue;
         }
-        log::info!(cause = cause, changed = changed(&known, &settings); "reload");
+        log::info!(cause = cause, changed = changed_fields(&known, &settings); "reload");
         for seed in &settings.seeds {
-            // The process may be ending.
+            // Fails only if the process is ending.
             let _ = seeds.send(*seed).await;
         }
         known = settings;
     }
 }
 
-/// The fields that differ. Only the seeds take effect at once, the others at the next start.
-fn changed(before: &Settings, after: &Settings) -> String {
+/// The names of the fields that differ, separated by commas. Seeds take effect at once, the other
+/// fields at the next start.
+fn changed_fields(before: &Settings, after: &Settings) -> String {
     let fields = [
         ("seeds", before.seeds != after.seeds),
         ("store", before.store != after.store),
--- a/crates/cassiarock-dispatch/src/run/entry.rs
+++ b/crates/cassiarock-dispatch/src/run/entry.rs
@@ -122,7 +122,7 @@
         let (changes, changed) = mpsc::unbounded_channel();
         parts.spawn_vital(
             "the directory of entries",
-            directory::updates(store.clone(), changes),
+            directory::follow_updates(store.clone(), changes),
         );
         parts.spawn(
             "changes of the directory",
@@ -133,12 +133,12 @@
             directory::announce(store.clone(), place, process),
         );
         parts.spawn(
-            "what callers usually wait",
-            learned::keep(store.clone(), inputs.clone()),
+            "the exchange of caller patience",
+            learned::sync(store.clone(), inputs.clone()),
         );
         parts.spawn_vital(
-            "what operators order",
-            operator::orders(store, inputs.clone()),
+            "the operators' orders",
+            operator::follow_orders(store, inputs.clone()),
         );
         monitor(&settings, &statuses, &mut parts).await?;
         let is_leaving = Arc::new(AtomicBool::new(false));
