--- a/crates/cassiarock-dispatch/src/agent.rs
+++ b/crates/cassiarock-dispatch/src/agent.rs
@@ -1,9 +1,9 @@
-//! The agent's actor: a host with its links and its upstream.
+//! The agent's actor: connects a host with its links and its upstream.
 
 use crate::decision_log::log_decision;
 use crate::links::send;
-use crate::mesh::{Mesh, Retired};
-use crate::orders::Orders;
+use crate::mesh::{Mesh, Retirement};
+use crate::orders::UpstreamOrders;
 use cassiarock_adapter::reports::Report;
 use cassiarock_adapter::worker::Target;
 use cassiarock_id::Process;
@@ -20,28 +20,28 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// An entry that was asked for the directory has answered within this time.
-const ASK_AGAIN: Duration = Duration::from_millis(300);
+/// Time after which an entry that has not answered is asked for the directory again.
+const DIRECTORY_RETRY: Duration = Duration::from_millis(300);
 
-/// What a poll asks for.
+/// A poll of the upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct Poll {
-    /// The life of the upstream to poll.
+pub(crate) struct PollRequest {
+    /// The incarnation of the upstream to poll.
     pub(crate) target: Target,
-    /// The last end taken.
+    /// Number of the last end of a task that the host has seen.
     pub(crate) seen: u64,
-    /// Until when to renew the leases.
+    /// Time until which to renew the leases, if at all.
     pub(crate) until: Option<u64>,
-    /// How long it waits for an end.
+    /// How long the upstream waits for the end of a task before it answers.
     pub(crate) wait: Duration,
-    /// The agent's clock.
+    /// The agent's clock when the poll was made.
     pub(crate) asked: Duration,
 }
 
-impl Poll {
-    /// The same, for an upstream that has left an answer out: it may have started again under its
-    /// id. A lease by the clock of its former life would reach far too long in the new one, and
-    /// the number of an end there says nothing of the new one's.
+impl PollRequest {
+    /// The same poll for an upstream that has not answered, because it may have restarted under
+    /// the same id. A lease by the clock of the previous incarnation would last far too long in the
+    /// new one, and the numbers of the previous incarnation's ends are not valid in the new one.
     pub(crate) fn without_renewal(self) -> Self {
         Self {
             seen: 0,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The same without a wait.
+    /// The same poll without a wait, which is answered at once.
     pub(crate) fn without_wait(self) -> Self {
         Self {
             wait: Duration::ZERO,
@@ -60,50 +60,50 @@
     }
 }
 
-/// What happens to an agent.
+/// An input of the agent's actor.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// The upstream reports.
+    /// A report of the upstream.
     Report(Report),
-    /// Something on a link.
+    /// An event of a link.
     Link(Event),
-    /// An entry takes links there.
-    Entry(SocketAddr),
-    /// What the directory of entries holds.
+    /// The address of an entry.
+    EntryAddress(SocketAddr),
+    /// The contents of the directory of entries.
     Directory(directory::Update),
-    /// A life of the upstream answered a start.
+    /// The answer of an incarnation of the upstream to a start.
     Started(Life, Task, Answer, Option<u64>),
-    /// A life of the upstream answered a stop.
+    /// The answer of an incarnation of the upstream to a stop.
     Stopped(Life, Task, Option<u64>),
-    /// What shall the next poll ask for? None without an upstream.
-    Poll(oneshot::Sender<Option<Poll>>),
-    /// What a poll showed.
+    /// Asks for the next poll of the upstream; `None` without an upstream.
+    NextPoll(oneshot::Sender<Option<PollRequest>>),
+    /// The result of a poll.
     Snapshot(Snapshot),
-    /// This life of the upstream is gone; another one answers.
-    Gone(Life),
-    /// This life of the upstream has seen a higher fence than this agent's.
+    /// Another incarnation of the upstream has answered in place of this one.
+    Replaced(Life),
+    /// This incarnation of the upstream has seen a higher fencing token than this agent's.
     Fenced(Life),
-    /// Take no new tasks.
+    /// Accept no new tasks.
     Leave,
 }
 
-/// Inputs handed to the actor at once. The reply is how long nothing is due.
+/// Inputs passed to the actor at once. The reply is the time until it has to run again.
 pub(crate) struct Batch(pub(crate) Vec<Input>);
 
-/// The shell around the host.
+/// The agent's actor, which performs the actions of its host.
 #[derive(Actor)]
 pub(crate) struct Agent {
     pub(crate) host: Host,
     pub(crate) clock: Clock,
     pub(crate) links: Links,
     pub(crate) mesh: Mesh,
-    pub(crate) orders: Orders,
+    pub(crate) orders: UpstreamOrders,
     pub(crate) status: watch::Sender<Status>,
-    /// The entry that said last that it knows more of the directory, and up to where.
-    pub(crate) ahead: Option<(Process, u64)>,
+    /// The entry that last announced a newer version of the directory, and its version.
+    pub(crate) newer_directory: Option<(Process, u64)>,
     /// When an entry was last asked for the whole directory.
-    pub(crate) asked: Option<Duration>,
-    /// Which data centres operators are emptying, as entries say.
+    pub(crate) directory_asked_at: Option<Duration>,
+    /// The data centres that operators are evacuating, as announced by entries.
     pub(crate) evacuations: evacuation::State,
 }
 
@@ -113,40 +113,42 @@
     async fn handle(&mut self, batch: Batch, _: &mut Context<Self, Self::Reply>) -> Self::Reply {
         let now = self.clock.now().up;
         for input in batch.0 {
-            let actions = self.take(input, now);
-            self.carry_out(actions);
+            let actions = self.handle_input(input, now);
+            self.execute(actions);
         }
         let actions = self.host.poll(now);
-        self.carry_out(actions);
+        self.execute(actions);
         self.ask_directory(now);
-        self.keep_links(now);
-        self.report();
+        self.update_links(now);
+        self.publish_status();
         Ok(self.host.wake(now).saturating_sub(now))
     }
 }
 
 impl Agent {
-    fn take(&mut self, input: Input, now: Duration) -> Vec<Action> {
+    fn handle_input(&mut self, input: Input, now: Duration) -> Vec<Action> {
         match input {
             Input::Report(Report::Heartbeat(worker)) => self.host.report(worker, now),
             Input::Report(Report::Deregistered(id)) => self.host.deregister(&id, now),
-            Input::Gone(life) => self.host.replaced(&life, now),
-            Input::Fenced(life) => self.host.fenced(&life),
-            Input::Link(event) => self.event(event, now),
-            Input::Entry(address) => {
-                self.mesh.meet_seed(address);
+            Input::Replaced(incarnation) => self.host.replaced(&incarnation, now),
+            Input::Fenced(incarnation) => self.host.fenced(&incarnation),
+            Input::Link(event) => self.handle_event(event, now),
+            Input::EntryAddress(address) => {
+                self.mesh.add_seed(address);
                 Vec::new()
             }
             Input::Directory(update) => {
-                self.mesh.direct(&update);
+                self.mesh.apply_update(&update);
                 Vec::new()
             }
-            Input::Started(life, task, answer, clock) => {
-                self.host.started(&life, &task, answer, clock, now)
+            Input::Started(incarnation, task, answer, clock) => {
+                self.host.started(&incarnation, &task, answer, clock, now)
             }
-            Input::Stopped(life, task, clock) => self.host.stopped(&life, &task, clock, now),
-            Input::Poll(reply) => {
-                // The polls end with the process.
+            Input::Stopped(incarnation, task, clock) => {
+                self.host.stopped(&incarnation, &task, clock, now)
+            }
+            Input::NextPoll(reply) => {
+                // Fails only if the process is ending, and the polls with it.
                 let _ = reply.send(self.next_poll(now));
                 Vec::new()
             }
@@ -158,9 +160,9 @@
         }
     }
 
-    fn next_poll(&mut self, now: Duration) -> Option<Poll> {
+    fn next_poll(&mut self, now: Duration) -> Option<PollRequest> {
         let target = self.target().filter(|_| !self.is_upstream_gone())?;
-        Some(Poll {
+        Some(PollRequest {
             target,
             seen: self.host.seen(now),
             until: self.host.renew(now),
@@ -181,21 +183,21 @@
         self.host.worker().is_none_or(|worker| worker.is_gone)
     }
 
-    fn event(&mut self, event: Event, now: Duration) -> Vec<Action> {
+    fn handle_event(&mut self, event: Event, now: Duration) -> Vec<Action> {
         match event {
             Event::Up(link) => {
                 let peer = link.peer.clone();
                 log::info!(dependency:% = peer.process; "link opened");
-                self.mesh.up(&link);
+                self.mesh.link_opened(&link);
                 self.links.open(link);
                 self.host.link(&peer.process, now)
             }
             Event::Frame(peer, Frame::Transient(message)) if self.links.is_newest(&peer) => {
-                self.message(&peer, message, now)
+                self.handle_message(&peer, message, now)
             }
             Event::Frame(..) => Vec::new(),
             Event::Down(peer, serial) => {
-                self.mesh.down(serial, now);
+                self.mesh.link_closed(serial, now);
                 if self.links.close(&peer.process, serial) {
                     log::warn!(dependency:% = peer.process; "link lost");
                     self.host.unlink(&peer.process);
@@ -205,41 +207,45 @@
         }
     }
 
-    fn message(&mut self, peer: &Hello, message: Message, now: Duration) -> Vec<Action> {
+    fn handle_message(&mut self, peer: &Hello, message: Message, now: Duration) -> Vec<Action> {
         match message {
             Message::Entries(entries) => {
-                entries.iter().for_each(|place| self.mesh.meet(place));
+                entries.iter().for_each(|place| self.mesh.add_entry(place));
                 Vec::new()
             }
             Message::Directory(update) => {
-                if self.mesh.direct(&update) == Taken::Gap {
-                    self.ahead = Some((peer.process.clone(), update.next));
+                if self.mesh.apply_update(&update) == Taken::Gap {
+                    self.newer_directory = Some((peer.process.clone(), update.next));
                 }
                 Vec::new()
             }
-            Message::Evacuations(state) => self.evacuate(&state, &peer.process),
+            Message::Evacuations(state) => self.apply_evacuations(&state, &peer.process),
             message => self.host.message(&peer.process, message, now),
         }
     }
 
-    /// Asks the entry that knows more than this agent for the whole directory, again if no answer
-    /// comes. Once its link is gone, another one tells with its own link how far it knows.
+    /// Asks the entry with the newer directory for the whole directory, repeatedly until it has
+    /// arrived. If the link is lost, the next entry that links announces its version.
     fn ask_directory(&mut self, now: Duration) {
-        let Some((entry, next)) = &self.ahead else {
+        let Some((entry, next)) = &self.newer_directory else {
             return;
         };
         if *next <= self.mesh.directory().next() {
-            self.ahead = None;
+            self.newer_directory = None;
             return;
         }
-        if self.asked.is_some_and(|at| now < at + ASK_AGAIN) {
+        if self
+            .directory_asked_at
+            .is_some_and(|at| now < at + DIRECTORY_RETRY)
+        {
             return;
         }
-        self.asked = Some(now);
+        self.directory_asked_at = Some(now);
         send(&self.links, entry, Message::AskDirectory);
     }
 
-    fn evacuate(&mut self, state: &evacuation::State, from: &Process) -> Vec<Action> {
+    /// Applies the operators' evacuations if they are newer than the known ones.
+    fn apply_evacuations(&mut self, state: &evacuation::State, from: &Process) -> Vec<Action> {
         if self.evacuations.adopt(state).is_none() {
             return Vec::new();
         }
@@ -251,22 +257,22 @@
         self.host.evacuate(is_evacuated)
     }
 
-    /// Links to the entries that the roster wants, and to no others.
-    fn keep_links(&mut self, now: Duration) {
+    /// Opens and drops links as the roster decides.
+    fn update_links(&mut self, now: Duration) {
         let host = &self.host;
         let retired = self.mesh.poll(now, |entry| host.has_tasks(entry));
-        for Retired { entry, is_retired } in retired {
-            self.retire(&entry, is_retired);
+        for Retirement { entry, is_retired } in retired {
+            self.set_retired(&entry, is_retired);
         }
     }
 
-    fn retire(&mut self, entry: &Process, is_retired: bool) {
+    fn set_retired(&mut self, entry: &Process, is_retired: bool) {
         log::info!(dependency:% = entry, retired = is_retired; "link is one too many");
         let actions = self.host.retire(entry, is_retired);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => send(&self.links, &to, message),
@@ -291,7 +297,7 @@
         }
     }
 
-    fn report(&self) {
+    fn publish_status(&self) {
         let (running, links) = (self.host.running(), self.links.len());
         let ready = !self.is_upstream_gone();
         metrics::gauge!("cassiarock_tasks_running").set(running as f64);
--- a/crates/cassiarock-dispatch/src/entry/calls.rs
+++ b/crates/cassiarock-dispatch/src/entry/calls.rs
@@ -1,4 +1,4 @@
-//! What callers ask of an entry.
+//! Handles the calls of callers.
 
 use super::Entry;
 use crate::learned::RoutePatience;
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 impl Entry {
-    pub(super) fn call(&mut self, call: Call, now: Duration) -> Vec<Action> {
+    pub(super) fn handle_call(&mut self, call: Call, now: Duration) -> Vec<Action> {
         match call {
             Call::Submit {
                 number,
@@ -27,19 +27,20 @@
             Call::Find(job, reply) => {
                 let number = self.scheduler.find(&job);
                 let state = number.map(|number| self.scheduler.is_started(number));
-                // The caller may have gone.
+                // Fails only if the caller has disconnected.
                 let _ = reply.send(state);
                 Vec::new()
             }
             Call::Cancel(job, reply) => self.cancel(&job, reply, now),
             Call::Pending(route, reply) => {
-                // The caller may have gone.
+                // Fails only if the caller has disconnected.
                 let _ = reply.send(self.scheduler.pending(&route));
                 Vec::new()
             }
         }
     }
 
+    /// Cancels a job and answers whether this entry had it.
     pub(super) fn cancel(
         &mut self,
         job: &str,
@@ -47,7 +48,7 @@
         now: Duration,
     ) -> Vec<Action> {
         let number = self.scheduler.find(job);
-        // The caller may have gone.
+        // Fails only if the caller has disconnected.
         let _ = reply.send(number.is_some());
         let Some(number) = number else {
             return Vec::new();
@@ -59,8 +60,9 @@
         actions
     }
 
-    /// Takes what is on record where little is known yet. Gives what is to be on record then.
-    pub(super) fn learned(&mut self, known: &RoutePatience) -> RoutePatience {
+    /// Passes the stored patience to the scheduler, which uses it for routes of which it has not seen
+    /// enough callers yet. Returns the values to be stored.
+    pub(super) fn merge_patience(&mut self, known: &RoutePatience) -> RoutePatience {
         for (route, millis) in known {
             let least = Duration::from_millis(*millis);
             self.scheduler.adopt_patience(route, least);
--- a/crates/cassiarock-dispatch/src/entry/links.rs
+++ b/crates/cassiarock-dispatch/src/entry/links.rs
@@ -1,4 +1,4 @@
-//! Links of an entry: with agents, and with other entries.
+//! Handles the links of an entry with agents and with other entries.
 
 use super::Entry;
 use crate::compression::decompress;
@@ -11,40 +11,43 @@
 use cassiarock_wire::{Frame, Hello, Role};
 use std::time::Duration;
 
-/// Entries whose addresses are passed on to agents; the aim is some 600.
-const ENTRIES: usize = 4_096;
+/// Most entries whose addresses are sent to agents. The service is designed for some 600 entries.
+const MAX_ENTRIES: usize = 4_096;
 
 impl Entry {
-    pub(super) fn event(&mut self, event: Event, now: Duration) -> Vec<Action> {
+    pub(super) fn handle_event(&mut self, event: Event, now: Duration) -> Vec<Action> {
         match event {
             Event::Up(link) => {
                 let peer = link.peer.clone();
                 log::info!(dependency:% = peer.process, role:? = peer.role; "link opened");
-                self.mesh.up(&link);
+                self.mesh.link_opened(&link);
                 self.links.open(link);
-                self.tell_evacuations(&peer.process);
+                self.send_evacuations(&peer.process);
                 match peer.role {
                     Role::Agent => {
                         self.scheduler.link(&peer.process, &peer.data_centre, now);
-                        self.tell_entries(&peer.process);
+                        self.send_entries(&peer.process);
                         let version = Message::Directory(self.mesh.directory().version());
                         send(&self.links, &peer.process, version);
                     }
-                    Role::Entry => self.meet(&peer),
+                    Role::Entry => self.add_entry(&peer),
                 }
                 Vec::new()
             }
-            // Also over an older link: two entries that dial each other at once may each take
-            // another link for the newer one. What agents tell is matched by attempt.
-            Event::Frame(peer, Frame::Transient(message)) => self.message(&peer, message, now),
+            // Messages over an older link count as well: two entries that dial each other at once
+            // may disagree on which link is the newer one. Messages of agents are matched by
+            // attempt.
+            Event::Frame(peer, Frame::Transient(message)) => {
+                self.handle_message(&peer, message, now)
+            }
             Event::Frame(..) => Vec::new(),
             Event::Down(peer, serial) => {
-                self.mesh.down(serial, now);
+                self.mesh.link_closed(serial, now);
                 if self.links.close(&peer.process, serial) {
                     log::warn!(dependency:% = peer.process, role:? = peer.role; "link lost");
                     self.scheduler.unlink(&peer.process);
                     self.lag.lose(&peer.process);
-                    // Agents have its address; new ones are told of it again when it is back.
+                    // Linked agents have its address; new ones get it when the entry links again.
                     let place = Place::new(peer.address.clone(), peer.data_centre.clone());
                     self.entries.remove(&place);
                 }
@@ -53,7 +56,12 @@
         }
     }
 
-    pub(super) fn message(&mut self, peer: &Hello, message: Message, now: Duration) -> Vec<Action> {
+    pub(super) fn handle_message(
+        &mut self,
+        peer: &Hello,
+        message: Message,
+        now: Duration,
+    ) -> Vec<Action> {
         match (peer.role, message) {
             (Role::Entry, Message::EntryBeat { version, .. }) => {
                 let is_sending = self.store.is_receiving();
@@ -64,14 +72,14 @@
                 Vec::new()
             }
             (Role::Entry, Message::AskConfiguration) => {
-                self.pass_on(&peer.process);
+                self.send_configuration(&peer.process);
                 Vec::new()
             }
             (Role::Entry, Message::Configuration { packed, .. }) => {
                 match decompress(&packed) {
-                    Ok(text) => self.configure(&text, "another entry"),
+                    Ok(text) => self.apply_configuration(&text, "another entry"),
                     Err(error) => {
-                        log::warn!(from:% = peer.process; "configuration left out: {error}");
+                        log::warn!(from:% = peer.process; "configuration ignored: {error}");
                     }
                 }
                 Vec::new()
@@ -82,37 +90,41 @@
                 Vec::new()
             }
             (Role::Entry, Message::Evacuations(state)) => {
-                self.evacuate(&state, "another entry");
+                self.apply_evacuations(&state, "another entry");
                 Vec::new()
             }
             (_, message) => self.scheduler.message(&peer.process, message, now),
         }
     }
 
-    /// An entry that the store turns away is known to its agents through others.
-    pub(super) fn meet(&mut self, peer: &Hello) {
+    /// Sends the address of a newly linked entry to all agents. An entry that cannot reach the store
+    /// becomes known to agents only this way.
+    pub(super) fn add_entry(&mut self, peer: &Hello) {
         let place = Place::new(peer.address.clone(), peer.data_centre.clone());
-        if self.entries.len() < ENTRIES && self.entries.insert(place.clone()) {
-            // Only the new one: the whole list to all agents would be 100 MB with 600 entries.
-            let news = vec![place];
+        if self.entries.len() < MAX_ENTRIES && self.entries.insert(place.clone()) {
+            // Sends only the new entry: sending the whole list to all agents would take 100 MB with
+            // 600 entries.
+            let added = vec![place];
             for agent in self.scheduler.linked() {
-                send(&self.links, agent, Message::Entries(news.clone()));
+                send(&self.links, agent, Message::Entries(added.clone()));
             }
         }
     }
 
-    pub(super) fn tell_entries(&self, agent: &Process) {
+    /// Sends the addresses of the linked entries to an agent.
+    pub(super) fn send_entries(&self, agent: &Process) {
         if !self.entries.is_empty() {
             let entries = self.entries.iter().cloned().collect();
             send(&self.links, agent, Message::Entries(entries));
         }
     }
 
-    pub(super) fn beat_entries(&mut self, now: Duration) {
-        if now < self.beat + timing::BEAT {
+    /// Sends a heartbeat to all linked entries if one is due.
+    pub(super) fn send_heartbeats(&mut self, now: Duration) {
+        if now < self.last_heartbeat + timing::BEAT {
             return;
         }
-        self.beat = now;
+        self.last_heartbeat = now;
         let version = self.version();
         let entries = self
             .links
@@ -124,24 +136,24 @@
                 version,
                 ask: None,
             };
-            // A link that does not take it is about to end.
+            // A link that does not accept it is about to close.
             let _ = link.send(Frame::Transient(message));
         }
     }
 
-    /// Takes what has changed in the directory of entries and passes it on to agents.
-    pub(super) fn direct(&mut self, update: &directory::Update) {
-        if !matches!(self.mesh.direct(update), Taken::Changed { .. }) {
+    /// Applies an update of the directory of entries and sends it to all agents.
+    pub(super) fn update_directory(&mut self, update: &directory::Update) {
+        if !matches!(self.mesh.apply_update(update), Taken::Changed { .. }) {
             return;
         }
-        // An agent that lacks what came before asks for all of it.
-        let news = if update.since == 0 {
+        // An agent that lacks earlier updates asks for the whole directory.
+        let update = if update.since == 0 {
             self.mesh.directory().version()
         } else {
             update.clone()
         };
         for agent in self.scheduler.linked() {
-            send(&self.links, agent, Message::Directory(news.clone()));
+            send(&self.links, agent, Message::Directory(update.clone()));
         }
     }
 }
--- a/crates/cassiarock-dispatch/src/entry/mod.rs
+++ b/crates/cassiarock-dispatch/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry's actor: a scheduler with its links and callers.
+//! The entry's actor: connects a scheduler with its links and callers.
 
 mod calls;
 mod links;
@@ -27,52 +27,54 @@
 
 pub(crate) use orders::Configuration;
 
-/// What happens to an entry.
+/// An input of the entry's actor.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// A caller asks.
+    /// A call of a caller.
     Call(Call),
-    /// Something on a link.
+    /// An event of a link.
     Link(Event),
     /// A configuration from the store.
     Configuration(Name),
-    /// The data centres to empty, from the store.
+    /// The data centres to evacuate, from the store.
     Evacuations(evacuation::State),
-    /// Another entry takes links there.
-    Entry(SocketAddr),
-    /// What has changed in the directory of entries, from the store.
+    /// The address of another entry.
+    EntryAddress(SocketAddr),
+    /// An update of the directory of entries, from the store.
     Directory(directory::Update),
-    /// What is on record of callers; asks for what this entry knows.
+    /// The stored patience of callers; asks for what is to be stored.
     Learned(RoutePatience, oneshot::Sender<RoutePatience>),
-    /// Take no new jobs.
+    /// Accept no new jobs.
     Leave,
 }
 
-/// Inputs handed to the actor at once. The reply is how long nothing is due.
+/// Inputs passed to the actor at once. The reply is the time until it has to run again.
 pub(crate) struct Batch(pub(crate) Vec<Input>);
 
-/// The shell around the scheduler.
+/// The entry's actor, which performs the actions of its scheduler.
 #[derive(Actor)]
 pub(crate) struct Entry {
     pub(crate) scheduler: Scheduler,
     pub(crate) clock: Clock,
     pub(crate) links: Links,
+    /// Receivers of the answers to jobs, by the number of the submission.
     pub(crate) callers: HashMap<u64, oneshot::Sender<Answer>>,
-    /// The configuration in force, to pass on.
+    /// The configuration in force, to send to other entries.
     pub(crate) configuration: Option<Configuration>,
-    /// How far the configuration in force is behind that of others.
+    /// Decides when to ask which entry for a newer configuration.
     pub(crate) lag: Lag,
-    /// The client that follows the operators' configuration.
+    /// The client that reads the operators' configuration.
     pub(crate) store: Store,
     pub(crate) table: watch::Sender<Option<Arc<Table>>>,
     pub(crate) status: watch::Sender<Status>,
-    /// Where other entries take links, as they said.
+    /// Link addresses of the other entries, as announced on their links.
     pub(crate) entries: BTreeSet<Place>,
-    /// Links to other entries.
+    /// Links with other entries.
     pub(crate) mesh: Mesh,
-    pub(crate) beat: Duration,
-    /// Since when data centres are known to be emptied.
-    pub(crate) evacuated: BTreeMap<Name, Wall>,
+    /// When the last heartbeat was sent to other entries.
+    pub(crate) last_heartbeat: Duration,
+    /// The data centres being evacuated, and since when this entry knows it.
+    pub(crate) evacuated_since: BTreeMap<Name, Wall>,
 }
 
 impl Handle<Batch> for Entry {
@@ -81,43 +83,44 @@
     async fn handle(&mut self, batch: Batch, _: &mut Context<Self, Self::Reply>) -> Self::Reply {
         let now = self.clock.now().up;
         for input in batch.0 {
-            let actions = self.take(input, now);
-            self.carry_out(actions);
+            let actions = self.handle_input(input, now);
+            self.execute(actions);
         }
         let actions = self.scheduler.poll(now);
-        self.carry_out(actions);
-        // Tasks go over links with agents alone, so that an entry is told of no end of its links.
+        self.execute(actions);
+        // Links between entries carry no tasks, so that other entries need not be told that their
+        // link is surplus.
         self.mesh.poll(now, |_| false);
-        self.beat_entries(now);
-        self.report(now);
+        self.send_heartbeats(now);
+        self.publish_status(now);
         Ok(self.scheduler.wake(now).saturating_sub(now))
     }
 }
 
 impl Entry {
-    fn take(&mut self, input: Input, now: Duration) -> Vec<Action> {
+    fn handle_input(&mut self, input: Input, now: Duration) -> Vec<Action> {
         match input {
-            Input::Call(call) => self.call(call, now),
-            Input::Link(event) => self.event(event, now),
+            Input::Call(call) => self.handle_call(call, now),
+            Input::Link(event) => self.handle_event(event, now),
             Input::Configuration(text) => {
-                self.configure(&text, "the store");
+                self.apply_configuration(&text, "the store");
                 Vec::new()
             }
             Input::Evacuations(state) => {
-                self.evacuate(&state, "the store");
+                self.apply_evacuations(&state, "the store");
                 Vec::new()
             }
-            Input::Entry(address) => {
-                self.mesh.meet_seed(address);
+            Input::EntryAddress(address) => {
+                self.mesh.add_seed(address);
                 Vec::new()
             }
             Input::Directory(update) => {
-                self.direct(&update);
+                self.update_directory(&update);
                 Vec::new()
             }
             Input::Learned(known, reply) => {
-                // Who asks may have ended.
-                let _ = reply.send(self.learned(&known));
+                // Fails only if the process is ending.
+                let _ = reply.send(self.merge_patience(&known));
                 Vec::new()
             }
             Input::Leave => {
--- a/crates/cassiarock-dispatch/src/entry/orders.rs
+++ b/crates/cassiarock-dispatch/src/entry/orders.rs
@@ -1,4 +1,4 @@
-//! Operators' orders in force at an entry, and how they are passed on.
+//! Applies the operators' orders at an entry and sends them to other processes.
 
 use super::Entry;
 use crate::compression::compress;
@@ -9,13 +9,13 @@
 use std::io;
 use std::sync::Arc;
 
-/// A configuration to pass on.
+/// The configuration in force, as it is sent to other entries.
 #[derive(Debug)]
 pub(crate) struct Configuration {
     version: u64,
     text: Name,
-    /// The same packed, once somebody has asked for it.
-    packed: Option<Vec<u8>>,
+    /// The compressed text, once another entry has asked for it.
+    compressed: Option<Vec<u8>>,
 }
 
 impl Configuration {
@@ -23,31 +23,32 @@
         Self {
             version,
             text,
-            packed: None,
+            compressed: None,
         }
     }
 
-    /// The message that passes it on. Packing takes some milliseconds, so it is done once.
+    /// The message with this configuration. The text is compressed only once, because that takes
+    /// some milliseconds.
     pub(super) fn message(&mut self) -> io::Result<Message> {
-        let packed = match self.packed.take() {
-            Some(packed) => packed,
+        let compressed = match self.compressed.take() {
+            Some(compressed) => compressed,
             None => compress(&self.text)?,
         };
-        self.packed = Some(packed.clone());
+        self.compressed = Some(compressed.clone());
         Ok(Message::Configuration {
             version: self.version,
-            packed,
+            packed: compressed,
         })
     }
 }
 
 impl Entry {
-    /// Takes a configuration if it is newer than the one in force.
-    pub(super) fn configure(&mut self, text: &Name, from: &'static str) {
+    /// Applies a configuration if it is newer than the one in force.
+    pub(super) fn apply_configuration(&mut self, text: &Name, from: &'static str) {
         let table = match configuration::decode(text) {
             Ok(table) => table,
             Err(error) => {
-                log::warn!(from = from; "configuration left out: {error}");
+                log::warn!(from = from; "configuration ignored: {error}");
                 return;
             }
         };
@@ -62,23 +63,24 @@
         self.table.send_replace(Some(Arc::new(table)));
     }
 
+    /// The version of the configuration in force; 0 if there is none.
     pub(super) fn version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |known| known.version)
     }
 
     /// Sends the configuration in force to another entry.
-    pub(super) fn pass_on(&mut self, to: &Process) {
+    pub(super) fn send_configuration(&mut self, to: &Process) {
         match self.configuration.as_mut().map(Configuration::message) {
             Some(Ok(message)) => send(&self.links, to, message),
-            Some(Err(error)) => log::warn!(to:% = to; "configuration not passed on: {error}"),
+            Some(Err(error)) => log::warn!(to:% = to; "cannot send the configuration: {error}"),
             None => {}
         }
     }
 
-    /// Takes operators' orders to empty data centres if they are newer than those known, and
-    /// passes them on: to entries that the store turns away, and to agents, which follow no
-    /// topic of operators.
-    pub(super) fn evacuate(&mut self, state: &evacuation::State, from: &'static str) {
+    /// Applies the operators' orders to evacuate data centres if they are newer than the known ones,
+    /// and sends them to all peers: to entries that may not reach the store, and to agents, which do
+    /// not follow the operators' topic.
+    pub(super) fn apply_evacuations(&mut self, state: &evacuation::State, from: &'static str) {
         let mut evacuations = self.scheduler.evacuations().clone();
         let Some(change) = evacuations.adopt(state) else {
             return;
@@ -90,21 +92,21 @@
             return;
         }
         for data_centre in &change.ended {
-            self.evacuated.remove(data_centre);
+            self.evacuated_since.remove(data_centre);
         }
         let begun = change
             .begun
             .iter()
-            .map(|place| (place.clone(), Wall::now()));
-        self.evacuated.extend(begun);
+            .map(|data_centre| (data_centre.clone(), Wall::now()));
+        self.evacuated_since.extend(begun);
         log::info!(begun:? = change.begun, ended:? = change.ended, offset = state.next(), from = from; "evacuations");
         for link in self.links.all() {
-            self.tell_evacuations(&link.peer.process);
+            self.send_evacuations(&link.peer.process);
         }
     }
 
-    /// Tells a peer which data centres are to be empty, if that is known here.
-    pub(super) fn tell_evacuations(&self, peer: &Process) {
+    /// Sends a peer the data centres to evacuate, if this entry knows them.
+    pub(super) fn send_evacuations(&self, peer: &Process) {
         let known = self.scheduler.evacuations();
         if known.next() > 0 {
             send(&self.links, peer, Message::Evacuations(known.clone()));
--- a/crates/cassiarock-dispatch/src/entry/report.rs
+++ b/crates/cassiarock-dispatch/src/entry/report.rs
@@ -1,4 +1,4 @@
-//! What an entry does and shows.
+//! Performs the actions of an entry's scheduler and publishes the entry's status.
 
 use super::Entry;
 use crate::decision_log::log_decision;
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 impl Entry {
-    pub(super) fn carry_out(&mut self, actions: Vec<Action>) {
+    /// Performs the actions that the scheduler asks for.
+    pub(super) fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => send(&self.links, &to, message),
@@ -16,7 +17,7 @@
                     metrics::counter!("cassiarock_answers_total", "answer" => label(answer))
                         .increment(1);
                     if let Some(caller) = self.callers.remove(&number) {
-                        // The caller may have gone just now.
+                        // Fails only if the caller has just disconnected.
                         let _ = caller.send(answer);
                     }
                 }
@@ -33,10 +34,11 @@
         }
     }
 
-    pub(super) fn report(&self, now: Duration) {
+    /// Updates the status and the gauges.
+    pub(super) fn publish_status(&self, now: Duration) {
         let open = self.scheduler.open(now);
         let ready = self.configuration.is_some() && open > 0;
-        let evacuated = self.evacuated.iter();
+        let evacuated = self.evacuated_since.iter();
         let evacuations: Vec<Evacuation> = evacuated
             .map(|(data_centre, since)| Evacuation {
                 data_centre: data_centre.clone(),
--- a/crates/cassiarock-dispatch/src/mesh.rs
+++ b/crates/cassiarock-dispatch/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The links that a process keeps to entries, and the directory by which it finds them.
+//! The links that a process keeps with entries, and the directory in which it finds them.
 
 use cassiarock_id::Process;
 use cassiarock_peer::{Dialer, Event, Identity, Key, Link};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Links to some of the entries.
+/// Keeps links with some of the entries.
 pub(crate) struct Mesh {
     roster: Roster,
     dialers: HashMap<SocketAddr, Dialer>,
@@ -19,14 +19,14 @@
     events: mpsc::Sender<Event>,
 }
 
-/// An entry to which the link is one too many, or is to be kept after all.
-pub(crate) struct Retired {
+/// Whether the link with an entry is surplus and about to be dropped, or is to be kept after all.
+pub(crate) struct Retirement {
     pub(crate) entry: Process,
     pub(crate) is_retired: bool,
 }
 
 impl Mesh {
-    /// No links yet; `roster` says how many there are to be.
+    /// Creates a mesh without links. `roster` decides with which entries to link.
     pub(crate) fn new(
         roster: Roster,
         identity: Identity,
@@ -51,38 +51,41 @@
         &self.directory
     }
 
-    /// Takes what has changed in the directory of entries.
-    pub(crate) fn direct(&mut self, update: &Update) -> Taken {
+    /// Applies an update of the directory of entries, and adds and removes entries accordingly.
+    pub(crate) fn apply_update(&mut self, update: &Update) -> Taken {
         let taken = self.directory.take(update);
         if let Taken::Changed { added, removed } = &taken {
             log::info!(added = added, removed = removed.len(), offset = update.next; "directory of entries");
-            // Each present one, known or not: it may have started again.
-            update.present.iter().for_each(|place| self.meet(place));
+            // Adds known entries as well, because they may have restarted.
+            update
+                .present
+                .iter()
+                .for_each(|place| self.add_entry(place));
             for address in removed.iter().filter_map(|address| address.parse().ok()) {
                 let step = self.roster.forget(address);
                 step.into_iter().for_each(|step| {
-                    self.step(step);
+                    self.execute(step);
                 });
             }
         }
         taken
     }
 
-    /// An entry takes links there, perhaps since a moment. A record of another writer may name no
-    /// address.
-    pub(crate) fn meet(&mut self, place: &Place) {
+    /// Adds an entry that accepts links, perhaps only since a moment ago. Ignores an invalid address,
+    /// which another writer of the directory may have written.
+    pub(crate) fn add_entry(&mut self, place: &Place) {
         let is_near = place.data_centre == self.identity.data_centre;
         if let Ok(address) = place.address.parse() {
-            self.meet_at(address, is_near);
+            self.add_address(address, is_near);
         }
     }
 
-    /// An entry takes links at an address of which no more is known.
-    pub(crate) fn meet_seed(&mut self, address: SocketAddr) {
-        self.meet_at(address, false);
+    /// Adds an entry of which only the address is known.
+    pub(crate) fn add_seed(&mut self, address: SocketAddr) {
+        self.add_address(address, false);
     }
 
-    fn meet_at(&mut self, address: SocketAddr, is_near: bool) {
+    fn add_address(&mut self, address: SocketAddr, is_near: bool) {
         if *self.identity.address == *address.to_string() {
             return;
         }
@@ -92,38 +95,38 @@
         }
     }
 
-    /// A link opened.
-    pub(crate) fn up(&mut self, link: &Link) {
+    /// Records that a link has opened.
+    pub(crate) fn link_opened(&mut self, link: &Link) {
         if let Some(address) = link.dialled {
             let entry = link.peer.process.clone();
             self.roster.up(address, entry, link.serial);
         }
     }
 
-    /// A link ended.
-    pub(crate) fn down(&mut self, serial: u64, now: Duration) {
+    /// Records that a link has closed.
+    pub(crate) fn link_closed(&mut self, serial: u64, now: Duration) {
         self.roster.down(serial, now);
     }
 
-    /// Dials and drops links as the roster wants. Gives the entries that are to be told that
-    /// their link is one too many, or no longer.
+    /// Dials entries and drops links as the roster decides. Returns the entries whose links have
+    /// become surplus, or are no longer.
     pub(crate) fn poll(
         &mut self,
         now: Duration,
         has_tasks: impl Fn(&Process) -> bool,
-    ) -> Vec<Retired> {
+    ) -> Vec<Retirement> {
         let steps = self.roster.poll(now, has_tasks);
         steps
             .into_iter()
-            .filter_map(|step| self.step(step))
+            .filter_map(|step| self.execute(step))
             .collect()
     }
 
-    fn step(&mut self, step: Step) -> Option<Retired> {
+    fn execute(&mut self, step: Step) -> Option<Retirement> {
         match step {
             Step::Dial(address) => {
-                let (me, key) = (self.identity.clone(), self.key.clone());
-                let dialer = Dialer::new(address, None, me, key, self.events.clone());
+                let (identity, key) = (self.identity.clone(), self.key.clone());
+                let dialer = Dialer::new(address, None, identity, key, self.events.clone());
                 self.dialers.insert(address, dialer);
                 None
             }
@@ -132,11 +135,11 @@
                 self.dialers.remove(&address);
                 None
             }
-            Step::Retire(entry) => Some(Retired {
+            Step::Retire(entry) => Some(Retirement {
                 entry,
                 is_retired: true,
             }),
-            Step::Resume(entry) => Some(Retired {
+            Step::Resume(entry) => Some(Retirement {
                 entry,
                 is_retired: false,
             }),
--- a/crates/cassiarock-dispatch/src/orders.rs
+++ b/crates/cassiarock-dispatch/src/orders.rs
@@ -1,6 +1,6 @@
-//! Carries orders to the upstream and polls it.
+//! Sends orders to the upstream and polls it.
 
-use crate::agent::{Input, Poll};
+use crate::agent::{Input, PollRequest};
 use cassiarock_adapter::UpstreamClient;
 use cassiarock_adapter::worker::{CallError, MAX_CONNECTIONS, Target};
 use cassiarock_id::Name;
@@ -10,68 +10,75 @@
 use std::time::Duration;
 use tokio::sync::{Semaphore, mpsc, oneshot};
 
-/// The pause while no upstream is known.
-const IDLE: Duration = Duration::from_millis(100);
+/// The pause between polls while no upstream is known.
+const NO_UPSTREAM_PAUSE: Duration = Duration::from_millis(100);
 
-/// A start without an answer is taken for lost after this many times the mean, ...
-const SLOWER: u64 = 10;
+/// A call without an answer is given up after this many times the mean time of a start, within
+/// [`TIMEOUT_BOUNDS`].
+const TIMEOUT_FACTOR: u64 = 10;
 
-/// ... within these bounds. An upstream answers within a millisecond. What it leaves
-/// unanswered may be carried out seconds later; the sooner the order is voided, the sooner
-/// its task can be placed again: with one order in twenty lost, a job of eight tasks meets
-/// one in three times.
-const UNANSWERED: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(250));
+/// The bounds of a call's timeout. An upstream answers within a millisecond, and may carry out an
+/// unanswered order seconds later. The sooner the order is given up, the sooner its task is placed
+/// again: if one order in twenty is lost, a third of the jobs with eight tasks are affected.
+const TIMEOUT_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(40), Duration::from_millis(250));
 
-/// Sends orders, a few at a time: each one under way has a connection, and new connections
-/// are dear to the upstream.
+/// Sends orders, a few at a time: each order in flight has its own connection, and opening
+/// connections is expensive for the upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct Orders {
-    worker: UpstreamClient,
+pub(crate) struct UpstreamOrders {
+    client: UpstreamClient,
     inputs: mpsc::Sender<Input>,
-    free: Arc<Semaphore>,
-    /// The mean time of an answered start, in microseconds.
-    mean: Arc<AtomicU64>,
+    permits: Arc<Semaphore>,
+    /// The mean time of answered starts, in microseconds.
+    mean_micros: Arc<AtomicU64>,
 }
 
-impl Orders {
-    pub(crate) fn new(worker: UpstreamClient, inputs: mpsc::Sender<Input>) -> Self {
-        let free = Arc::new(Semaphore::new(MAX_CONNECTIONS - 1));
+impl UpstreamOrders {
+    pub(crate) fn new(client: UpstreamClient, inputs: mpsc::Sender<Input>) -> Self {
+        let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS - 1));
         Self {
-            worker,
+            client,
             inputs,
-            free,
-            mean: Arc::default(),
+            permits,
+            mean_micros: Arc::default(),
         }
     }
 
-    /// How long an order may take.
-    fn limit(&self) -> Duration {
-        let mean = self.mean.load(Ordering::Relaxed);
-        Duration::from_micros(mean * SLOWER).clamp(UNANSWERED.0, UNANSWERED.1)
+    /// How long a call may take.
+    fn timeout(&self) -> Duration {
+        let mean = self.mean_micros.load(Ordering::Relaxed);
+        Duration::from_micros(mean * TIMEOUT_FACTOR).clamp(TIMEOUT_BOUNDS.0, TIMEOUT_BOUNDS.1)
     }
 
-    fn learn(&self, took: Duration) {
-        let mean = self.mean.load(Ordering::Relaxed);
+    /// Updates the mean with the time of an answered start.
+    fn record_start(&self, took: Duration) {
+        let mean = self.mean_micros.load(Ordering::Relaxed);
         let took = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-        // The last eight make up two thirds of it.
-        self.mean.store((mean * 7 + took) / 8, Ordering::Relaxed);
+        // The last eight starts make up two thirds of the mean.
+        self.mean_micros
+            .store((mean * 7 + took) / 8, Ordering::Relaxed);
     }
 
+    /// Starts a task and passes the answer to the agent.
     pub(crate) fn start(&self, target: Target, task: Task, spec: Name, until: u64) {
         let this = self.clone();
         tokio::spawn(async move {
-            // The semaphore is never closed.
-            let _permit = this.free.acquire().await;
+            // Cannot fail: the semaphore is never closed.
+            let _permit = this.permits.acquire().await;
             let began = tokio::time::Instant::now();
-            let limit = this.limit();
-            let answer = this.worker.start(&target, &task, &spec, until, limit).await;
+            let timeout = this.timeout();
+            let answer = this
+                .client
+                .start(&target, &task, &spec, until, timeout)
+                .await;
             let incarnation = target.incarnation;
             let input = match answer {
                 Ok((answer, clock)) => {
-                    this.learn(began.elapsed());
+                    this.record_start(began.elapsed());
                     Input::Started(incarnation, task, answer, clock)
                 }
-                Err(CallError::OtherIncarnation) => Input::Gone(incarnation),
+                Err(CallError::OtherIncarnation) => Input::Replaced(incarnation),
                 Err(CallError::Fenced) => Input::Fenced(incarnation),
                 Err(CallError::Failed(error)) => {
                     log::warn!(task:% = task; "{error}");
@@ -79,70 +86,71 @@
                 }
             };
             metrics::histogram!("cassiarock_start_seconds").record(began.elapsed());
-            // The actor may have ended.
+            // Fails only if the actor has ended.
             let _ = this.inputs.send(input).await;
         });
     }
 
+    /// Stops a task and passes the answer to the agent.
     pub(crate) fn stop(&self, target: Target, task: Task) {
         let this = self.clone();
         tokio::spawn(async move {
-            // The semaphore is never closed.
-            let _permit = this.free.acquire().await;
-            let answer = this.worker.stop(&target, &task, this.limit()).await;
+            // Cannot fail: the semaphore is never closed.
+            let _permit = this.permits.acquire().await;
+            let answer = this.client.stop(&target, &task, this.timeout()).await;
             let incarnation = target.incarnation;
             let input = match answer {
                 Ok(clock) => Input::Stopped(incarnation, task, clock),
-                Err(CallError::OtherIncarnation) => Input::Gone(incarnation),
+                Err(CallError::OtherIncarnation) => Input::Replaced(incarnation),
                 Err(CallError::Fenced) => Input::Fenced(incarnation),
                 Err(CallError::Failed(error)) => {
-                    // The host orders it again.
+                    // The host repeats the order.
                     log::warn!(task:% = task; "{error}");
                     return;
                 }
             };
-            // The actor may have ended.
+            // Fails only if the actor has ended.
             let _ = this.inputs.send(input).await;
         });
     }
 
-    /// Polls the upstream without waiting for an end.
-    pub(crate) fn poll_now(&self, poll: Poll) {
+    /// Polls the upstream once, without waiting for the end of a task.
+    pub(crate) fn poll_now(&self, request: PollRequest) {
         let this = self.clone();
         tokio::spawn(async move {
-            // The semaphore is never closed.
-            let _permit = this.free.acquire().await;
-            this.poll_once(poll.without_wait()).await;
+            // Cannot fail: the semaphore is never closed.
+            let _permit = this.permits.acquire().await;
+            this.poll_once(request.without_wait()).await;
         });
     }
 
     /// Polls the upstream, one poll after the other, until the process ends.
-    pub(crate) async fn poll(self) {
-        let mut lost: Option<tokio::time::Instant> = None;
+    pub(crate) async fn run_polls(self) {
+        let mut lost_since: Option<tokio::time::Instant> = None;
         let mut failures = 0;
         loop {
-            let (reply, poll) = oneshot::channel();
-            if self.inputs.send(Input::Poll(reply)).await.is_err() {
+            let (reply, request) = oneshot::channel();
+            if self.inputs.send(Input::NextPoll(reply)).await.is_err() {
                 return;
             }
-            let Ok(Some(poll)) = poll.await else {
-                tokio::time::sleep(IDLE).await;
+            let Ok(Some(request)) = request.await else {
+                tokio::time::sleep(NO_UPSTREAM_PAUSE).await;
                 continue;
             };
-            let poll = if lost.is_some() {
-                poll.without_renewal()
+            let request = if lost_since.is_some() {
+                request.without_renewal()
             } else {
-                poll
+                request
             };
-            let is_answered = self.poll_once(poll).await;
-            match (is_answered, lost) {
+            let is_answered = self.poll_once(request).await;
+            match (is_answered, lost_since) {
                 (true, Some(since)) => {
                     let away_ms = since.elapsed().as_millis() as u64;
                     log::info!(dependency = "upstream", away_ms = away_ms; "regained");
-                    lost = None;
+                    lost_since = None;
                     failures = 0;
                 }
-                (false, None) => lost = Some(tokio::time::Instant::now()),
+                (false, None) => lost_since = Some(tokio::time::Instant::now()),
                 (true, None) | (false, Some(_)) => {}
             }
             if !is_answered {
@@ -152,28 +160,30 @@
         }
     }
 
-    async fn poll_once(&self, poll: Poll) -> bool {
-        let Poll {
+    /// Polls the upstream once and passes the result to the agent. Returns whether the expected
+    /// incarnation answered.
+    async fn poll_once(&self, request: PollRequest) -> bool {
+        let PollRequest {
             target,
             seen,
             until,
             wait,
             asked,
-        } = poll;
+        } = request;
         let snapshot = self
-            .worker
-            .poll(&target, seen, until, wait, self.limit(), asked)
+            .client
+            .poll(&target, seen, until, wait, self.timeout(), asked)
             .await;
         let (is_answered, input) = match snapshot {
             Ok(snapshot) => (true, Input::Snapshot(snapshot)),
-            Err(CallError::OtherIncarnation) => (false, Input::Gone(target.incarnation)),
+            Err(CallError::OtherIncarnation) => (false, Input::Replaced(target.incarnation)),
             Err(CallError::Fenced) => (false, Input::Fenced(target.incarnation)),
             Err(CallError::Failed(error)) => {
                 log::warn!(dependency = "upstream"; "lost: {error}");
                 return false;
             }
         };
-        // The actor may have ended.
+        // Fails only if the actor has ended.
         let _ = self.inputs.send(input).await;
         is_answered
     }
--- a/crates/cassiarock-dispatch/src/run/agent.rs
+++ b/crates/cassiarock-dispatch/src/run/agent.rs
@@ -1,9 +1,9 @@
-//! An agent from its settings to its end.
+//! Sets up an agent, runs it and shuts it down.
 
-use super::{FLUSH, KEY, bind, identity, leave, monitor, seed, serve};
+use super::{FLUSH_DELAY, KEY, bind, identity, leave, monitor, seed, serve};
 use crate::agent::{Agent, Batch, Input};
 use crate::mesh::Mesh;
-use crate::orders::Orders;
+use crate::orders::UpstreamOrders;
 use crate::reload::reload;
 use crate::{Error, directory};
 use cassiarock_adapter::{Settings, Store, UpstreamClient, reports};
@@ -17,10 +17,10 @@
 use std::path::PathBuf;
 use tokio::sync::{mpsc, watch};
 
-/// Runs an agent until `asked` says that it shall end.
+/// Runs an agent until `asked` requests its end, and shuts it down within the grace period.
 ///
 /// # Errors
-/// If a listener or a client cannot be set up.
+/// If a listener or a client cannot be set up, or a vital part of the process has ended.
 pub async fn run_agent(
     file: PathBuf,
     settings: Settings,
@@ -33,15 +33,15 @@
         fault = running.parts.fault() => return Err(fault.into()),
     }
     log::info!("leaving");
-    // The actor takes inputs as long as its task runs.
+    // Fails only if the actor has ended.
     let _ = running.inputs.send(Input::Leave).await;
-    leave(running.idle(), &mut asked, grace).await;
+    leave(running.wait_until_idle(), &mut asked, grace).await;
     let tasks = running.statuses.borrow().running;
     log::info!(tasks = tasks; "stopped");
     Ok(Report { jobs: 0, tasks })
 }
 
-/// An agent that serves; its parts end when it is dropped.
+/// A running agent. Its parts end when it is dropped.
 struct Running {
     inputs: mpsc::Sender<Input>,
     statuses: watch::Receiver<Status>,
@@ -53,21 +53,21 @@
         let upstream = settings
             .upstream
             .ok_or(Error::MissingAddress("the upstream"))?;
-        let at = settings.reports.ok_or(Error::MissingAddress("reports"))?;
-        let listener = bind(at).await?;
+        let address = settings.reports.ok_or(Error::MissingAddress("reports"))?;
+        let listener = bind(address).await?;
         let process = Process::new(settings.name.clone(), Wall::now().as_millis());
         let identity = identity(&settings, &process, Role::Agent);
         let store = Store::new(settings.store.to_string())?;
         let (inputs, received) = mpsc::channel(BACKLOG);
-        let (events, seen) = mpsc::channel(BACKLOG);
-        let (reporting, reported) = mpsc::channel(BACKLOG);
-        let (found, addresses) = mpsc::channel(BACKLOG);
+        let (events, received_events) = mpsc::channel(BACKLOG);
+        let (reports, received_reports) = mpsc::channel(BACKLOG);
+        let (addresses, received_addresses) = mpsc::channel(BACKLOG);
         let first = Status::new(process, "agent", settings.data_centre.clone());
         let (status, statuses) = watch::channel(first);
-        let orders = Orders::new(UpstreamClient::new(upstream)?, inputs.clone());
+        let orders = UpstreamOrders::new(UpstreamClient::new(upstream)?, inputs.clone());
         let roster = Roster::new(identity.process.name.clone());
         let mesh = Mesh::new(roster, identity, Key::new(KEY), events);
-        let actor = Agent::spawn(new(mesh, orders.clone(), status));
+        let actor = Agent::spawn(create_actor(mesh, orders.clone(), status));
 
         let mut parts = Parts::default();
         parts.spawn_vital(
@@ -77,17 +77,23 @@
                 async move { actor.ask(Batch(batch)).await.ok() }
             }),
         );
-        parts.spawn("news of links", forward(seen, inputs.clone(), Input::Link));
-        parts.spawn("reports", forward(reported, inputs.clone(), Input::Report));
+        parts.spawn(
+            "link events",
+            forward(received_events, inputs.clone(), Input::Link),
+        );
+        parts.spawn(
+            "reports",
+            forward(received_reports, inputs.clone(), Input::Report),
+        );
         parts.spawn(
             "addresses",
-            forward(addresses, inputs.clone(), Input::Entry),
+            forward(received_addresses, inputs.clone(), Input::EntryAddress),
         );
-        parts.spawn_vital("polls of the upstream", orders.poll());
-        parts.spawn("seeds", seed(settings.seeds.clone(), found.clone()));
+        parts.spawn_vital("polls of the upstream", orders.run_polls());
+        parts.spawn("seeds", seed(settings.seeds.clone(), addresses.clone()));
         parts.spawn(
-            "changes of the settings",
-            reload(file, settings.clone(), found),
+            "the reload of settings",
+            reload(file, settings.clone(), addresses),
         );
         parts.spawn_vital(
             "the directory of entries",
@@ -95,7 +101,7 @@
         );
         parts.spawn_vital(
             "the server for reports",
-            serve(listener, reports::router(reporting)),
+            serve(listener, reports::router(reports)),
         );
         monitor(&settings, &statuses, &mut parts).await?;
         Ok(Self {
@@ -105,16 +111,16 @@
         })
     }
 
-    /// Waits until no task is left, and its end has gone out.
-    async fn idle(&self) {
+    /// Waits until no task is left and the last results have been sent.
+    async fn wait_until_idle(&self) {
         let mut statuses = self.statuses.clone();
-        // An error means that the actor is gone.
+        // Fails only if the actor has ended.
         let _ = statuses.wait_for(|status| status.running == 0).await;
-        tokio::time::sleep(FLUSH).await;
+        tokio::time::sleep(FLUSH_DELAY).await;
     }
 }
 
-fn new(mesh: Mesh, orders: Orders, status: watch::Sender<Status>) -> Agent {
+fn create_actor(mesh: Mesh, orders: UpstreamOrders, status: watch::Sender<Status>) -> Agent {
     Agent {
         host: Host::new(),
         clock: Clock::new(),
@@ -122,8 +128,8 @@
         mesh,
         orders,
         status,
-        ahead: None,
-        asked: None,
+        newer_directory: None,
+        directory_asked_at: None,
         evacuations: evacuation::State::default(),
     }
 }
--- a/crates/cassiarock-dispatch/src/run/entry.rs
+++ b/crates/cassiarock-dispatch/src/run/entry.rs
@@ -1,6 +1,6 @@
-//! An entry from its settings to its end.
+//! Sets up an entry, runs it and shuts it down.
 
-use super::{FLUSH, KEY, bind, identity, leave, monitor, seed};
+use super::{FLUSH_DELAY, KEY, bind, identity, leave, monitor, seed};
 use crate::entry::{Batch, Entry, Input};
 use crate::mesh::Mesh;
 use crate::reload::reload;
@@ -29,25 +29,25 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// How long a leaving entry still takes connections: the balancer asks once a second and
-/// needs two answers to take it out.
-const LISTEN_ON: Duration = Duration::from_millis(2_500);
+/// How long a leaving entry still accepts connections: the load balancer checks readiness once a
+/// second and removes an entry after two negative answers.
+const REMOVAL_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How long requests wait for the first configuration after a start. It is there within
-/// 300 ms if the store or another entry answers.
-const CONFIGURED: Duration = Duration::from_secs(1);
+/// How long requests wait for the first configuration after a start. It arrives within 300 ms if
+/// the store or another entry answers.
+const CONFIGURATION_WAIT: Duration = Duration::from_secs(1);
 
-/// How long a caller's connection may be idle or take over its headers: what the operators'
-/// configuration allows for idle ones.
-const IDLE: Duration = Duration::from_secs(15);
+/// How long a caller's connection may be idle or take to send its headers. It equals the idle
+/// time that the operators' configuration allows by default.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Connections of callers: three quarters of the 4,100 descriptors of the smallest VMs.
-const CONNECTIONS: usize = 3_000;
+/// Most connections of callers, three quarters of the 4,100 file descriptors of the smallest VMs.
+const MAX_CONNECTIONS: usize = 3_000;
 
-/// Runs an entry until `asked` says that it shall end.
+/// Runs an entry until `asked` requests its end, and shuts it down within the grace period.
 ///
 /// # Errors
-/// If a listener or a client cannot be set up.
+/// If a listener or a client cannot be set up, or a vital part of the process has ended.
 pub async fn run_entry(
     file: PathBuf,
     settings: Settings,
@@ -61,7 +61,7 @@
     }
     log::info!("leaving");
     running.is_leaving.store(true, Ordering::Relaxed);
-    // The actor takes inputs as long as its task runs.
+    // Fails only if the actor has ended.
     let _ = running.inputs.send(Input::Leave).await;
     let statuses = running.statuses.clone();
     leave(running.answer_all(), &mut asked, grace).await;
@@ -70,12 +70,12 @@
     Ok(Report { jobs, tasks: 0 })
 }
 
-/// An entry that serves; its parts end when it is dropped.
+/// A running entry. Its parts end when it is dropped.
 struct Running {
     inputs: mpsc::Sender<Input>,
     statuses: watch::Receiver<Status>,
     is_leaving: Arc<AtomicBool>,
-    /// Tells the callers' server to finish what it has.
+    /// Makes the callers' server stop once its requests have been answered.
     close: watch::Sender<Stage>,
     server: JoinHandle<()>,
     parts: Parts,
@@ -89,16 +89,17 @@
         let links = Listener::bind(settings.peers).await?;
         let store = Store::new(settings.store.to_string())?;
         let (inputs, received) = mpsc::channel(BACKLOG);
-        let (events, seen) = mpsc::channel(BACKLOG);
-        // Bounded by the callers' connections: each has one request at a time.
-        let (calls, asking) = mpsc::unbounded_channel();
-        let (seeds, seeded) = mpsc::channel(BACKLOG);
+        let (events, received_events) = mpsc::channel(BACKLOG);
+        // The number of calls is bounded by the callers' connections, each of which has one request
+        // at a time.
+        let (calls, received_calls) = mpsc::unbounded_channel();
+        let (addresses, received_addresses) = mpsc::channel(BACKLOG);
         let first = Status::new(process.clone(), "entry", settings.data_centre.clone());
         let (status, statuses) = watch::channel(first);
-        let (table, tables) = watch::channel(None);
+        let (table, received_table) = watch::channel(None);
         let roster = Roster::new(process.name.clone()).with_links(PEERS);
         let mesh = Mesh::new(roster, identity.clone(), Key::new(KEY), events.clone());
-        let actor = Entry::spawn(new(mesh, table, status, store.clone()));
+        let actor = Entry::spawn(create_actor(mesh, table, status, store.clone()));
 
         let mut parts = Parts::default();
         parts.spawn_vital(
@@ -110,23 +111,32 @@
         );
         let key = Key::new(KEY);
         parts.spawn_vital("the listener for links", links.run(identity, key, events));
-        parts.spawn("news of links", forward(seen, inputs.clone(), Input::Link));
-        parts.spawn("calls", pass_on(asking, inputs.clone(), Input::Call));
-        parts.spawn("seeds", seed(settings.seeds.clone(), seeds.clone()));
         parts.spawn(
-            "changes of the settings",
-            reload(file, settings.clone(), seeds),
+            "link events",
+            forward(received_events, inputs.clone(), Input::Link),
+        );
+        parts.spawn(
+            "calls",
+            forward_unbounded(received_calls, inputs.clone(), Input::Call),
+        );
+        parts.spawn("seeds", seed(settings.seeds.clone(), addresses.clone()));
+        parts.spawn(
+            "the reload of settings",
+            reload(file, settings.clone(), addresses),
+        );
+        parts.spawn(
+            "addresses",
+            forward(received_addresses, inputs.clone(), Input::EntryAddress),
         );
-        parts.spawn("addresses", forward(seeded, inputs.clone(), Input::Entry));
         let place = Place::new(settings.peers.to_string(), settings.data_centre.clone());
-        let (changes, changed) = mpsc::unbounded_channel();
+        let (updates, received_updates) = mpsc::unbounded_channel();
         parts.spawn_vital(
             "the directory of entries",
-            directory::follow_updates(store.clone(), changes),
+            directory::follow_updates(store.clone(), updates),
         );
         parts.spawn(
-            "changes of the directory",
-            pass_on(changed, inputs.clone(), Input::Directory),
+            "updates of the directory",
+            forward_unbounded(received_updates, inputs.clone(), Input::Directory),
         );
         parts.spawn(
             "the announcement",
@@ -142,8 +152,13 @@
         );
         monitor(&settings, &statuses, &mut parts).await?;
         let is_leaving = Arc::new(AtomicBool::new(false));
-        let configuration_deadline = Instant::now() + CONFIGURED;
-        let state = RouterState::new(calls, tables, is_leaving.clone(), configuration_deadline);
+        let configuration_deadline = Instant::now() + CONFIGURATION_WAIT;
+        let state = RouterState::new(
+            calls,
+            received_table,
+            is_leaving.clone(),
+            configuration_deadline,
+        );
         let (close, closing) = watch::channel(Stage::Run);
         let server = tokio::spawn(serve(listener, callers::router(state), closing));
         Ok(Self {
@@ -156,7 +171,7 @@
         })
     }
 
-    /// Waits until a part is gone that the others cannot do without.
+    /// Waits until a vital part of the process has ended.
     async fn fault(&mut self) -> Fault {
         let part = "the server for callers";
         tokio::select! {
@@ -165,21 +180,21 @@
         }
     }
 
-    /// Lets the balancer take the entry out, then ends idle connections and waits for the
-    /// others.
+    /// Waits until the load balancer has removed the entry, then closes idle connections and waits for
+    /// the others and for all jobs.
     async fn answer_all(self) {
-        tokio::time::sleep(LISTEN_ON).await;
+        tokio::time::sleep(REMOVAL_DELAY).await;
         self.close.send_replace(Stage::Drain);
-        // It has panicked otherwise, and nothing is left to wait for.
+        // Fails only if the server has panicked; nothing is left to wait for then.
         let _ = self.server.await;
         let mut statuses = self.statuses;
-        // An error means that the actor is gone, and so are all jobs.
+        // Fails only if the actor has ended, and all jobs with it.
         let _ = statuses.wait_for(|status| status.jobs == 0).await;
-        tokio::time::sleep(FLUSH).await;
+        tokio::time::sleep(FLUSH_DELAY).await;
     }
 }
 
-fn new(
+fn create_actor(
     mesh: Mesh,
     table: watch::Sender<Option<Arc<Table>>>,
     status: watch::Sender<Status>,
@@ -197,13 +212,13 @@
         status,
         entries: BTreeSet::new(),
         mesh,
-        beat: Duration::ZERO,
-        evacuated: BTreeMap::new(),
+        last_heartbeat: Duration::ZERO,
+        evacuated_since: BTreeMap::new(),
     }
 }
 
-/// Hands over what comes from where its amount is bounded.
-async fn pass_on<T>(
+/// Forwards items from an unbounded channel, whose length the sender bounds by other means.
+async fn forward_unbounded<T>(
     mut from: mpsc::UnboundedReceiver<T>,
     inputs: mpsc::Sender<Input>,
     wrap: impl Fn(T) -> Input,
@@ -217,8 +232,8 @@
 
 async fn serve(listener: TcpListener, router: axum::Router, mut closing: watch::Receiver<Stage>) {
     let limit = Limit {
-        receive: IDLE,
-        connections: CONNECTIONS,
+        receive: IDLE_TIMEOUT,
+        connections: MAX_CONNECTIONS,
         ..Limit::default()
     };
     let closing = until(&mut closing, Stage::Drain);
--- a/crates/cassiarock-dispatch/src/run/mod.rs
+++ b/crates/cassiarock-dispatch/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Sets the processes up, runs them, and takes them down.
+//! Sets up the processes, runs them and shuts them down.
 
 mod agent;
 mod entry;
@@ -18,18 +18,19 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// The platform's settings hold no secret. The key keeps processes of other systems apart
-/// that dial by mistake; it is no protection against an attacker on the platform's network.
+/// The key of the link handshake. The platform's settings contain no secret, so the key only rejects
+/// processes of other systems that dial by mistake. It does not protect against an attacker on the
+/// platform's network.
 const KEY: &str = "cassiarock on the platform";
 
-/// What is kept of the time to leave for the last answers to go out.
-const LAST: Duration = Duration::from_millis(300);
+/// The part of the grace period that is reserved for sending the last answers.
+const GRACE_RESERVE: Duration = Duration::from_millis(300);
 
-/// How long a process that starts waits for the directory of entries before it dials its seeds.
-const DIRECTED: Duration = Duration::from_millis(300);
+/// How long a starting process waits for the directory of entries before it dials its seeds.
+const SEED_DELAY: Duration = Duration::from_millis(300);
 
-/// How long answers and ends that have been decided take to leave the sockets.
-const FLUSH: Duration = Duration::from_millis(100);
+/// Time for answers and results to leave the sockets.
+const FLUSH_DELAY: Duration = Duration::from_millis(100);
 
 fn identity(settings: &Settings, process: &Process, role: Role) -> Identity {
     Identity {
@@ -41,8 +42,8 @@
     }
 }
 
-/// Waits for `leaving`, but no longer than the platform lets the process live, and not if it is
-/// told to end at once.
+/// Waits for `leaving`, but no longer than the grace period allows, and not if the process is
+/// requested to end at once.
 async fn leave(
     leaving: impl Future<Output = ()>,
     asked: &mut watch::Receiver<Stage>,
@@ -51,18 +52,18 @@
     tokio::select! {
         () = leaving => {}
         () = until(asked, Stage::Stop) => {}
-        () = tokio::time::sleep(grace.saturating_sub(LAST)) => {}
+        () = tokio::time::sleep(grace.saturating_sub(GRACE_RESERVE)) => {}
     }
 }
 
-/// Tells the seeds, once the directory has had time to tell all entries. Those that dial seeds
-/// keep the links for a while: at the start of many processes the few seeds would carry a link
-/// with each.
-async fn seed(seeds: Vec<SocketAddr>, found: mpsc::Sender<SocketAddr>) {
-    tokio::time::sleep(DIRECTED).await;
+/// Sends the addresses of the seeds after a delay in which the directory can supply all entries.
+/// Links with seeds are kept for a while, so without the delay the few seeds would have a link with
+/// each process when many start at once.
+async fn seed(seeds: Vec<SocketAddr>, addresses: mpsc::Sender<SocketAddr>) {
+    tokio::time::sleep(SEED_DELAY).await;
     for seed in seeds {
-        // The process may be ending.
-        let _ = found.send(seed).await;
+        // Fails only if the process is ending.
+        let _ = addresses.send(seed).await;
     }
 }
 
@@ -72,7 +73,7 @@
     Ok(bound?)
 }
 
-/// Opens the listeners for the platform's balancer and for operators.
+/// Opens the listeners for the load balancer's readiness checks and for metrics and status.
 async fn monitor(
     settings: &Settings,
     statuses: &watch::Receiver<Status>,
@@ -84,7 +85,7 @@
         let listener = bind(address).await?;
         parts.spawn("readiness", serve(listener, reports::readiness(is_ready)));
     }
-    // Jobs are served also without metrics.
+    // Jobs are served even without metrics.
     match Monitor::bind(settings.monitor).await {
         Ok(monitor) => {
             parts.spawn(
@@ -92,12 +93,12 @@
                 monitor.run(statuses.clone(), axum::Router::new()),
             );
         }
-        Err(error) => log::warn!("no metrics: {error}"),
+        Err(error) => log::warn!("metrics and status are not served: {error}"),
     }
     Ok(())
 }
 
 async fn serve(listener: TcpListener, router: axum::Router) {
-    // Serving ends only with the process.
+    // Serving ends only with the process, so there is no result to handle.
     let _ = axum::serve(listener, router).await;
 }
