--- a/crates/cassiarock-dispatch/src/directory.rs
+++ b/crates/cassiarock-dispatch/src/directory.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// The topic with one record per entry, whose key is the entry's address. Its value is the process,
-/// its data centre and when it started.
+/// the data centre and when the record was written, at the start of the entry.
 const TOPIC: &str = "keyed.entries";
 
 /// The topic in which entries renew their records, by their address. No process follows it, because
--- a/crates/cassiarock-dispatch/src/mesh.rs
+++ b/crates/cassiarock-dispatch/src/mesh.rs
@@ -71,8 +71,8 @@
         taken
     }
 
-    /// Adds an entry that accepts links, perhaps only since a moment ago. Ignores an invalid address,
-    /// which another writer of the directory may have written.
+    /// Adds an entry that accepts links and may just have started. Ignores an invalid address, which
+    /// another writer of the directory may have written.
     pub(crate) fn add_entry(&mut self, place: &Place) {
         let is_near = place.data_centre == self.identity.data_centre;
         if let Ok(address) = place.address.parse() {
