--- a/crates/cassiarock-claim/src/ballot.rs
+++ b/crates/cassiarock-claim/src/ballot.rs
@@ -3,8 +3,8 @@
 use cassiarock_id::Process;
 use serde::{Deserialize, Serialize};
 
-/// One attempt to run a job: the round orders attempts, the entry and its serial number
-/// break ties.
+/// One attempt to run a job. Attempts are ordered by round; the entry and its serial
+/// number break ties.
 ///
 /// ```
 /// use cassiarock_claim::Ballot;
@@ -14,23 +14,23 @@
 /// ```
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Ballot {
-    /// Round 0 needs no claim (repeatable single requests), round 1 is a keeper's
-    /// grant to a job never seen before, all later rounds have gathered first.
+    /// Round 0 needs no claim (repeatable single requests), round 1 is a keeper's grant of
+    /// a job never seen before, and every later round starts with a gather.
     pub round: u32,
     /// The entry that owns the attempt.
     pub entry: Process,
-    /// Which of the entry's owners: an entry never uses a number twice, so that an
-    /// owner which has forgotten its starts can't be granted an earlier owner's ballot.
+    /// Tells the entry's owners apart. An entry never uses a number twice, so that an owner
+    /// without knowledge of earlier starts can't be granted an earlier owner's ballot.
     pub serial: u64,
 }
 
 impl Ballot {
-    /// The round of repeatable requests, which the ledger does not guard.
+    /// The round of repeatable requests, whose starts the ledger does not record.
     pub const UNCLAIMED: u32 = 0;
-    /// The round that a keeper grants without a gather.
+    /// The round that a keeper grants without a gather, for a job never seen before.
     pub const FRESH: u32 = 1;
 
-    /// The attempt `round` of `entry`, with serial number 0.
+    /// An attempt of `entry` in `round`, with serial number 0.
     #[must_use]
     pub const fn new(round: u32, entry: Process) -> Self {
         Self {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The same attempt by the entry's owner number `serial`.
+    /// The same attempt with the serial number `serial`.
     ///
     /// ```
     /// use cassiarock_claim::Ballot;
@@ -53,7 +53,7 @@
         Self { serial, ..self }
     }
 
-    /// The same owner's attempt in another round.
+    /// The same owner's attempt in `round`.
     ///
     /// ```
     /// use cassiarock_claim::Ballot;
@@ -66,7 +66,7 @@
         Self { round, ..self }
     }
 
-    /// An attempt of `entry` that is above this one and above `FRESH`.
+    /// An attempt of `entry` in a round above this one's and above `FRESH`.
     #[must_use]
     pub fn next(&self, entry: Process) -> Self {
         Self::new(self.round.max(Self::FRESH).saturating_add(1), entry)
--- a/crates/cassiarock-claim/src/guard.rs
+++ b/crates/cassiarock-claim/src/guard.rs
@@ -1,73 +1,78 @@
-//! The comparisons that the protocol's safety rests on, each in one place.
+//! The checks on which the protocol's safety depends, each in one place.
 //!
 //! The mutant tests compile the package's sources a second time with another version of
-//! this module, in which one check can be switched off. Shipped builds hold only this one.
+//! this module, in which one check can be switched off. Shipped builds contain only this
+//! version.
 
 use crate::Ballot;
 
-/// The fence: an agent lets nothing below the highest ballot start.
-pub(crate) fn above_fence(ballot: &Ballot, fence: &Ballot) -> bool {
+/// Fence: an agent starts nothing under a ballot below the highest one it has seen.
+pub(crate) fn passes_fence(ballot: &Ballot, fence: &Ballot) -> bool {
     ballot >= fence
 }
 
-/// The attempt check: a keeper repeats a grant to the owner that holds it, to no other.
-pub(crate) fn same_attempt(asked: &Ballot, granted: &Ballot) -> bool {
+/// Attempt: a keeper repeats a grant only to the owner that holds it.
+pub(crate) fn is_same_attempt(asked: &Ballot, granted: &Ballot) -> bool {
     asked.same_owner(granted)
 }
 
-/// The version check: where the keepers differ, entry and keeper hold the same view.
-pub(crate) const fn same_view(asked: u64, own: u64) -> bool {
+/// Version: an agent that is not the keeper in its own view answers only requests made
+/// under that same view.
+pub(crate) const fn is_same_view(asked: u64, own: u64) -> bool {
     asked == own
 }
 
-/// The sole-keeper check: a keeper grants without a gather only where no keeper of another
-/// version can have done so.
-pub(crate) const fn sole_keeper(sole_keeper: bool) -> bool {
+/// Version: a keeper grants without a gather only where no keeper of another version can
+/// have granted the job.
+pub(crate) const fn is_sole_keeper(sole_keeper: bool) -> bool {
     sole_keeper
 }
 
-/// The repeat check: a start that was once rejected stays rejected.
-pub(crate) fn newer_start(start: (&Ballot, u32), void: (&Ballot, u32)) -> bool {
+/// Repeat: a start that was rejected once stays rejected.
+pub(crate) fn is_newer_start(start: (&Ballot, u32), void: (&Ballot, u32)) -> bool {
     start > void
 }
 
-/// The keeper rule: a keeper runs no tasks of the jobs that it keeps.
-pub(crate) const fn is_keeper(named: bool) -> bool {
-    named
+/// Keeper: an excluded keeper runs no tasks of the job.
+pub(crate) const fn is_keeper(excluded: bool) -> bool {
+    excluded
 }
 
-/// The gather: above the first round nothing starts before every agent has reported.
-pub(crate) const fn gather_whole(missing: usize) -> bool {
+/// Gather: above the first round nothing starts before every agent has reported.
+pub(crate) const fn is_gather_complete(missing: usize) -> bool {
     missing == 0
 }
 
-/// The witness: a closed claim is proof only once an agent outside the keeper holds it.
-pub(crate) const fn witnessed(closed: bool) -> bool {
-    closed
+/// Witness: a closed claim proves that nothing ran only once an agent other than the
+/// keeper has recorded it.
+pub(crate) const fn has_witness(witnessed: bool) -> bool {
+    witnessed
 }
 
-/// The view check: agents let nobody gather by a membership older than they know of.
-pub(crate) const fn current_view(fence: u64, seen: u64) -> bool {
+/// View: an agent rejects fences planned by an older membership than it knows of.
+pub(crate) const fn is_current_view(fence: u64, seen: u64) -> bool {
     fence >= seen
 }
 
-/// The birth rule: a granted job's tasks start only at members since the job's birth.
-pub(crate) const fn member_since(joined: u64, since: u64) -> bool {
+/// Membership: tasks start only at agents that have been members since `since`, which for
+/// a granted job is the oldest view under which it can have been started.
+pub(crate) const fn is_member_since(joined: u64, since: u64) -> bool {
     joined <= since
 }
 
-/// The keeper's constancy: only one keeper in the whole life of a job may grant it
-/// without a gather, or be missing from one.
-pub(crate) const fn one_keeper(constant: bool) -> bool {
+/// Constancy: a keeper may grant a job without a gather, or be exempt from one, only if
+/// it was the job's keeper in every view of the job's lifetime.
+pub(crate) const fn had_one_keeper(constant: bool) -> bool {
     constant
 }
 
-/// The authority: an entry out of touch with a majority may not claim without a gather.
+/// Authority: an entry that has lost contact with a majority of its view may not claim
+/// without a gather.
 pub(crate) const fn has_authority(has: bool) -> bool {
     has
 }
 
-/// The end of a ledger: after its hand-over it accepts no fence.
-pub(crate) const fn handed_over(handed: bool) -> bool {
+/// Hand-over: a ledger that was handed over accepts no fence.
+pub(crate) const fn is_handed_over(handed: bool) -> bool {
     handed
 }
--- a/crates/cassiarock-claim/src/keeper/book.rs
+++ b/crates/cassiarock-claim/src/keeper/claims.rs
@@ -1,7 +1,7 @@
-//! The decisions of a keeper.
+//! How a keeper answers claim requests, and what it remembers and hands over.
 
 use crate::guard;
-use crate::limit::{Floor, MAP_ROOM, NAME_BYTES};
+use crate::limit::{ENTRY_NAME_BYTES, EvictionFloor, MAP_OVERHEAD_FACTOR};
 use crate::message::{ClaimRecord, ClaimReply, ClaimRequest, Purpose};
 use crate::view::View;
 use crate::{Ballot, RetentionLimit};
@@ -9,10 +9,11 @@
 use std::collections::BTreeMap;
 use std::mem::size_of;
 
-/// A claim's share of memory, its place in the map included.
-const RECORD_BYTES: usize = MAP_ROOM * (size_of::<Job>() + size_of::<ClaimRecord>()) + NAME_BYTES;
+/// Bytes per claim, including its share of the map's nodes.
+const RECORD_BYTES: usize =
+    MAP_OVERHEAD_FACTOR * (size_of::<Job>() + size_of::<ClaimRecord>()) + ENTRY_NAME_BYTES;
 
-/// The claims kept by one agent.
+/// The claims of the jobs whose keeper is one agent.
 ///
 /// ```
 /// use cassiarock_claim::keeper::Keeper;
@@ -47,54 +48,56 @@
 pub struct Keeper {
     me: Process,
     limit: RetentionLimit,
-    floor: Floor,
-    latest: Wall,
-    /// Whether all claims were handed over to others.
-    handed: bool,
+    floor: EvictionFloor,
+    /// The latest time seen: a clock that steps back must not revive forgotten ids.
+    latest_time: Wall,
+    /// Whether all claims were handed over to other agents.
+    handed_over: bool,
     /// Ordered by issue time, so that eviction takes the oldest first.
     jobs: BTreeMap<Job, ClaimRecord>,
 }
 
 impl Keeper {
-    /// The keeper of no jobs yet.
+    /// A keeper without claims for the agent `me`.
     #[must_use]
     pub const fn new(me: Process, limit: RetentionLimit) -> Self {
         Self {
             me,
             limit,
-            floor: Floor::NONE,
-            latest: Wall::from_millis(0),
-            handed: false,
+            floor: EvictionFloor::NONE,
+            latest_time: Wall::from_millis(0),
+            handed_over: false,
             jobs: BTreeMap::new(),
         }
     }
 
-    /// Answers an entry under this agent's present view.
+    /// Answers an entry's request under this agent's current view.
     pub fn answer(&mut self, request: &ClaimRequest, view: &View, now: Wall) -> ClaimReply {
-        self.latest = self.latest.max(now);
-        // One process that keeps the job in both views orders its claims by itself; where
-        // another keeper is in question, both sides must mean the same view.
-        let keeps = view.keeper(request.job) == Some(&self.me);
-        if self.handed || !keeps && !guard::same_view(request.view, view.version) {
+        self.latest_time = self.latest_time.max(now);
+        // If this agent is the keeper in its own view, it orders all claims that reach it,
+        // whatever the entry's view. Otherwise both sides must hold the same view.
+        let is_keeper = view.keeper(request.job) == Some(&self.me);
+        if self.handed_over || !is_keeper && !guard::is_same_view(request.view, view.version) {
             return ClaimReply::View(view.version);
         }
         if let Some(record) = self.jobs.get_mut(&request.job) {
-            return repeat(record, request);
+            return answer_known(record, request);
         }
         if self.is_forgotten(request.job) {
             return ClaimReply::Forgotten;
         }
-        self.first(request, guard::sole_keeper(request.sole_keeper))
+        self.answer_new(request, guard::is_sole_keeper(request.sole_keeper))
     }
 
-    /// The attempt that owns the job, as far as this keeper knows.
+    /// The attempt that owns the job, if this keeper has a record of it.
     #[must_use]
     pub fn owner(&self, job: Job) -> Option<&Ballot> {
         self.jobs.get(&job).map(|record| &record.owner)
     }
 
-    /// What must be at the new keepers before this agent may be announced as gone. From
-    /// then on it grants nothing and sends entries to read up.
+    /// The claims that must reach their next keepers before this agent's departure may be
+    /// announced. From then on this keeper grants nothing and answers every request with
+    /// its view's version.
     ///
     /// ```
     /// use cassiarock_claim::RetentionLimit;
@@ -107,7 +110,7 @@
     /// assert!(keeper.hand_over(&View::new(1, [me])).is_empty());
     /// ```
     pub fn hand_over(&mut self, view: &View) -> Vec<(Process, Vec<ClaimRecord>)> {
-        self.handed = true;
+        self.handed_over = true;
         let rest = view.without(&self.me);
         let mut sent: BTreeMap<Process, Vec<ClaimRecord>> = BTreeMap::new();
         for record in self.jobs.values() {
@@ -119,8 +122,8 @@
         sent.into_iter().collect()
     }
 
-    /// Takes over claims from a leaving keeper. Of two records of one job the higher
-    /// attempt stays; a closed job stays closed.
+    /// Takes over claims from a leaving keeper. Of two records of one job the one with the
+    /// higher attempt is kept; a closed job stays closed.
     pub fn accept_handover(&mut self, records: Vec<ClaimRecord>) {
         for record in records {
             match self.jobs.get_mut(&record.job) {
@@ -133,10 +136,11 @@
         }
     }
 
-    /// Forgets claims older than the limit's age, and above its bytes the oldest ones.
+    /// Removes claims older than the limit's age, and the oldest ones while the claims
+    /// take more than the limit's bytes.
     pub fn evict(&mut self, now: Wall) {
-        self.latest = self.latest.max(now);
-        let oldest = self.latest.minus(self.limit.max_age);
+        self.latest_time = self.latest_time.max(now);
+        let oldest = self.latest_time.minus(self.limit.max_age);
         self.floor.raise(oldest);
         while let Some(first) = self.jobs.first_entry() {
             let job = *first.key();
@@ -149,20 +153,20 @@
         }
     }
 
-    /// The bytes held now.
+    /// The bytes that all claims take.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.jobs.len() * RECORD_BYTES
     }
 
-    fn first(&mut self, request: &ClaimRequest, sole_keeper: bool) -> ClaimReply {
-        let above = request.ballot.clone().with_round(Ballot::FRESH + 1);
+    fn answer_new(&mut self, request: &ClaimRequest, sole_keeper: bool) -> ClaimReply {
+        let gathered = request.ballot.clone().with_round(Ballot::FRESH + 1);
         let fresh = request.ballot.clone().with_round(Ballot::FRESH);
         let owner = match request.purpose {
-            Purpose::Refuse if !sole_keeper => return ClaimReply::Gather(above),
-            Purpose::TakeOver { over } => raised(&above, over),
+            Purpose::Refuse if !sole_keeper => return ClaimReply::Gather(gathered),
+            Purpose::TakeOver { over } => above_round(&gathered, over),
             _ if sole_keeper => fresh,
-            Purpose::Claim | Purpose::Refuse => above,
+            Purpose::Claim | Purpose::Refuse => gathered,
         };
         let record = ClaimRecord {
             job: request.job,
@@ -170,44 +174,44 @@
             owner,
             closed: request.purpose == Purpose::Refuse,
         };
-        let answer = state(&record, true);
+        let reply = reply_from(&record, true);
         self.jobs.insert(request.job, record);
-        answer
+        reply
     }
 
     fn is_forgotten(&self, job: Job) -> bool {
-        self.floor.covers(job) || job.issued() <= self.latest.minus(self.limit.max_age)
+        self.floor.covers(job) || job.issued() <= self.latest_time.minus(self.limit.max_age)
     }
 }
 
-/// Answers for a job that has a record.
-fn repeat(record: &mut ClaimRecord, request: &ClaimRequest) -> ClaimReply {
+/// Answers a request for a job that has a record.
+fn answer_known(record: &mut ClaimRecord, request: &ClaimRequest) -> ClaimReply {
     if record.digest != request.digest {
         return ClaimReply::Mismatch;
     }
-    let mine = guard::same_attempt(&request.ballot, &record.owner);
+    let is_owner = guard::is_same_attempt(&request.ballot, &record.owner);
     match request.purpose {
-        // Only a claim that was granted without a gather is proof that no other entry has
-        // started the job: a refusal of any other one needs the gather.
-        Purpose::Refuse if mine && record.owner.round == Ballot::FRESH => record.closed = true,
-        // Only who replaces the present owner gets the job: of two entries that miss the
-        // same owner the second is sent to the first.
+        // Only a claim that was granted without a gather proves that no other entry has
+        // started the job. Refusing any other claim requires a gather.
+        Purpose::Refuse if is_owner && record.owner.round == Ballot::FRESH => record.closed = true,
+        // Only an entry that replaces the current owner gets the job: of two entries that
+        // can't reach the same owner, the second one is sent to the first.
         Purpose::TakeOver { over } if over >= record.owner.round => {
-            record.owner = raised(&request.ballot, over);
-            return state(record, true);
+            record.owner = above_round(&request.ballot, over);
+            return reply_from(record, true);
         }
         _ => {}
     }
-    state(record, mine)
+    reply_from(record, is_owner)
 }
 
-/// What the record says to its owner, or to another entry.
-fn state(record: &ClaimRecord, mine: bool) -> ClaimReply {
+/// The reply to the owner of the record, or to another entry.
+fn reply_from(record: &ClaimRecord, is_owner: bool) -> ClaimReply {
     let owner = record.owner.clone();
     if record.closed {
         return ClaimReply::Closed;
     }
-    if !mine {
+    if !is_owner {
         return ClaimReply::Owned(owner);
     }
     if owner.round == Ballot::FRESH {
@@ -217,8 +221,9 @@
     }
 }
 
-fn raised(ballot: &Ballot, over: u32) -> Ballot {
-    let round = over.max(Ballot::FRESH).saturating_add(1);
+/// The same owner's ballot in the first round above both `round` and `FRESH`.
+fn above_round(ballot: &Ballot, round: u32) -> Ballot {
+    let round = round.max(Ballot::FRESH).saturating_add(1);
     ballot.clone().with_round(round)
 }
 
--- a/crates/cassiarock-claim/src/keeper/mod.rs
+++ b/crates/cassiarock-claim/src/keeper/mod.rs
@@ -1,5 +1,5 @@
 //! The claims of the jobs that an agent keeps: who owns each job.
 
-mod book;
+mod claims;
 
-pub use book::Keeper;
+pub use claims::Keeper;
--- a/crates/cassiarock-claim/src/ledger/handover.rs
+++ b/crates/cassiarock-claim/src/ledger/handover.rs
@@ -1,31 +1,32 @@
-//! What a leaving agent's ledger passes on, so that a planned replacement loses no
-//! outcome, no fence and no witness of a refusal.
+//! The hand-over of a leaving agent's ledger, so that a planned replacement loses no
+//! outcome, no fence and no record of a closed job.
 
-use super::book::Ledger;
-use super::record::{Record, Slot, Stage};
+use super::lifecycle::Ledger;
+use super::record::{JobRecord, Stage, TaskRecord};
 use crate::Ballot;
 use crate::message::{LedgerRecord, Outcome};
 use crate::view::View;
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeMap;
 
-/// The end of a task that still runs when its agent must go.
-const CUT: &str = "the agent left before the task ended";
+/// The reason in the outcome of a task that still runs when its agent hands over.
+const CUT_SHORT: &str = "the agent left before the task ended";
 
-/// Copies of each record. The keeper of a job may be exempt from its gathers, so that
-/// only the other copy is sure to be found.
-const COPIES: usize = 2;
+/// Copies of each record. The keeper of a job may be exempt from the job's gathers, so that
+/// only the other copy is certain to be found.
+const HANDOVER_COPIES: usize = 2;
 
 impl Ledger {
-    /// What must be at the two highest-ranked remaining agents before this one may be
-    /// announced as gone. Call it when nothing runs any more. From then on the ledger
-    /// rejects starts and fences: what it accepted later would be lost with it.
+    /// The records that must reach the two highest-ranked remaining agents of each job
+    /// before this agent's departure may be announced. Call it once no task runs any more.
+    /// From then on the ledger rejects starts and fences, because records added later would
+    /// be lost with it.
     ///
-    /// `view` must be the newest on the log, and the record that announces the end must
-    /// directly follow it there; otherwise a successor may have been removed meanwhile,
-    /// and the hand-over is done again. Members that refused (see [`Ledger::accepts_handover_from`])
-    /// are left out of `view`, as long as two others stay in it, or one where fewer than
-    /// three others are members at all.
+    /// `view` must be the newest one on the log, and the log record that announces the
+    /// departure must directly follow it. Otherwise a successor may have been removed in the
+    /// meantime, and the hand-over must be repeated. Members that refused (see
+    /// [`Ledger::accepts_handover_from`]) are left out of `view`, as long as two others
+    /// remain in it, or one if fewer than three others are members at all.
     ///
     /// ```
     /// use cassiarock_claim::RetentionLimit;
@@ -39,25 +40,25 @@
     /// ```
     pub fn hand_over(&mut self, view: &View) -> Vec<(Process, Vec<LedgerRecord>)> {
         self.leave();
-        self.handed = true;
+        self.handed_over = true;
         let rest = view.without(&self.me);
-        // The floor must reach agents of which every gather meets one.
-        let first = rest.members.iter().take(COPIES);
+        // The floor must reach enough agents that every gather includes one of them.
+        let first = rest.members.iter().take(HANDOVER_COPIES);
         let mut sent: BTreeMap<_, Vec<LedgerRecord>> =
             first.map(|to| (to.clone(), Vec::new())).collect();
         for (job, record) in &self.jobs {
-            for agent in rest.ranked(*job).into_iter().take(COPIES) {
+            for agent in rest.ranked(*job).into_iter().take(HANDOVER_COPIES) {
                 sent.entry(agent.clone())
                     .or_default()
-                    .push(kept(*job, record));
+                    .push(ledger_record(*job, record));
             }
         }
         sent.into_iter().collect()
     }
 
-    /// Whether to take over from `leaver`. Two agents that leave at once must not hand
-    /// over to each other: the lower one goes first, and the higher one hands over again
-    /// what it took from it.
+    /// Whether to take over from `leaver`. Two agents that leave at the same time must not
+    /// hand over to each other: the lower one goes first, and the higher one passes on what
+    /// it took over.
     ///
     /// ```
     /// use cassiarock_claim::RetentionLimit;
@@ -69,59 +70,59 @@
     /// ```
     #[must_use]
     pub fn accepts_handover_from(&self, leaver: &Process) -> bool {
-        !self.handed || *leaver < self.me
+        !self.handed_over || *leaver < self.me
     }
 
-    /// Takes over what a leaving agent knew, and its [`Ledger::floor`]. Jobs that this ledger may have forgotten
-    /// are left out: their fences are answered "forgotten".
+    /// Takes over the records of a leaving agent and its [`Ledger::floor`]. Jobs that this
+    /// ledger may have evicted are left out: their fences are answered with "forgotten".
     pub fn accept_handover(&mut self, records: Vec<LedgerRecord>, floor: Wall) {
-        self.inherited.raise(floor);
-        for kept in records {
-            if self.jobs.contains_key(&kept.job) || !self.floor.covers(kept.job) {
-                self.merge(kept);
+        self.inherited_floor.raise(floor);
+        for other in records {
+            if self.jobs.contains_key(&other.job) || !self.floor.covers(other.job) {
+                self.merge(other);
             }
         }
     }
 
-    fn merge(&mut self, kept: LedgerRecord) {
-        let job = kept.job;
-        let record = self.open(job, kept.digest, &kept.fence, kept.view);
-        record.view = record.view.max(kept.view);
-        record.closed |= kept.closed;
-        // Of two submissions under one id the one that ran stays; the other's owners are
-        // turned away by its hash, so that their fence is needed no more.
-        if record.digest != kept.digest && record.is_untouched() && !kept.tasks.is_empty() {
-            record.digest = kept.digest;
-            record.fence = kept.fence.clone();
+    fn merge(&mut self, other: LedgerRecord) {
+        let job = other.job;
+        let record = self.get_or_insert(job, other.digest, &other.fence, other.view);
+        record.view = record.view.max(other.view);
+        record.closed |= other.closed;
+        // Of two submissions under one id the one that ran is kept. The other one's owners
+        // are rejected because of their hash, so that their fence is no longer needed.
+        if record.digest != other.digest && record.is_untouched() && !other.tasks.is_empty() {
+            record.digest = other.digest;
+            record.fence = other.fence.clone();
         }
-        if record.digest == kept.digest {
-            for (task, outcome) in kept.tasks {
-                insert(record, task, outcome, &kept.fence);
+        if record.digest == other.digest {
+            for (task, outcome) in other.tasks {
+                insert_ended(record, task, outcome, &other.fence);
             }
-            record.fence = record.fence.clone().max(kept.fence);
+            record.fence = record.fence.clone().max(other.fence);
         }
-        self.recount(job);
+        self.update_bytes(job);
     }
 }
 
-fn insert(record: &mut Record, task: Task, outcome: Outcome, fence: &Ballot) {
+fn insert_ended(record: &mut JobRecord, task: Task, outcome: Outcome, fence: &Ballot) {
     let known = record.tasks.get(task);
-    if known.is_some_and(|slot| !matches!(slot.stage, Stage::Void)) {
+    if known.is_some_and(|known| !matches!(known.stage, Stage::Void)) {
         return;
     }
-    let slot = Slot {
+    let ended = TaskRecord {
         stage: Stage::Ended(outcome),
         ballot: fence.clone(),
         placement: 0,
         attached: Vec::new(),
     };
-    record.tasks.insert(task, slot);
+    record.tasks.insert(task, ended);
 }
 
-fn kept(job: Job, record: &Record) -> LedgerRecord {
-    let ended = |(task, slot): (Task, &Slot)| match &slot.stage {
+fn ledger_record(job: Job, record: &JobRecord) -> LedgerRecord {
+    let ended = |(task, known): (Task, &TaskRecord)| match &known.stage {
         Stage::Ended(outcome) => Some((task, outcome.clone())),
-        Stage::Running => Some((task, Outcome::Lost(CUT.to_owned()))),
+        Stage::Running => Some((task, Outcome::Lost(CUT_SHORT.to_owned()))),
         Stage::Waiting | Stage::Void => None,
     };
     LedgerRecord {
--- a/crates/cassiarock-claim/src/ledger/book.rs
+++ b/crates/cassiarock-claim/src/ledger/lifecycle.rs
@@ -1,9 +1,9 @@
-//! The ledger and its decisions on a task's course: start, begin, end, evict.
+//! The ledger and its decisions over the lifecycle of a task: start, begin, end, evict.
 
-use super::fence::advance;
-use super::record::{Record, Slot, Stage};
+use super::fence::raise_fence;
+use super::record::{JobRecord, Stage, TaskRecord};
 use crate::guard;
-use crate::limit::Floor;
+use crate::limit::EvictionFloor;
 use crate::message::{Outcome, Reject, Start};
 use crate::{Ballot, RetentionLimit};
 use cassiarock_id::{Job, Process, Task, Wall};
@@ -14,9 +14,9 @@
 pub enum StartDecision {
     /// Queue the task and call [`Ledger::begin`] just before it is handed to the worker.
     Run,
-    /// The task is here already; its outcome will be sent to this attempt too.
+    /// The task already waits or runs here; its outcome will be sent to this attempt too.
     Attached,
-    /// The task ended here earlier, with this outcome.
+    /// The task has ended here with this outcome.
     Ended(Outcome),
     /// The task was not started.
     Rejected(Reject),
@@ -56,26 +56,29 @@
 pub struct Ledger {
     pub(super) me: Process,
     limit: RetentionLimit,
-    /// The latest membership version, and the one at which this agent joined.
+    /// The highest membership version seen.
     pub(super) view: u64,
+    /// The membership version at which this agent joined.
     joined: Option<u64>,
     leaving: bool,
-    /// Whether all this was handed over to others.
-    pub(super) handed: bool,
-    /// The latest time seen: a clock that steps back must not revive a start.
-    pub(super) latest: Wall,
-    pub(super) floor: Floor,
-    /// The highest floor of the agents that handed over to this one: of jobs issued up to
-    /// then it can't report for them, even where it has a record of its own.
-    pub(super) inherited: Floor,
+    /// Whether all records were handed over to other agents.
+    pub(super) handed_over: bool,
+    /// The latest time seen: a clock that steps back must not make an expired start valid
+    /// again.
+    pub(super) latest_time: Wall,
+    pub(super) floor: EvictionFloor,
+    /// The highest floor of the agents that handed over to this one. Of a job issued at or
+    /// before it this agent can't report what they started, even if it has a record of its
+    /// own.
+    pub(super) inherited_floor: EvictionFloor,
     pub(super) bytes: usize,
-    /// Ordered by issue time, as ids are: eviction takes the oldest first, so that the
-    /// floor rises no further than it must.
-    pub(super) jobs: BTreeMap<Job, Record>,
+    /// Ordered by issue time, as ids are. Eviction removes the oldest first, so that the
+    /// floor rises no further than necessary.
+    pub(super) jobs: BTreeMap<Job, JobRecord>,
 }
 
 impl Ledger {
-    /// The empty ledger of the agent `me`.
+    /// An empty ledger for the agent `me`.
     #[must_use]
     pub const fn new(me: Process, limit: RetentionLimit) -> Self {
         Self {
@@ -84,166 +87,168 @@
             view: 0,
             joined: None,
             leaving: false,
-            handed: false,
-            latest: Wall::from_millis(0),
-            floor: Floor::NONE,
-            inherited: Floor::NONE,
+            handed_over: false,
+            latest_time: Wall::from_millis(0),
+            floor: EvictionFloor::NONE,
+            inherited_floor: EvictionFloor::NONE,
             bytes: 0,
             jobs: BTreeMap::new(),
         }
     }
 
     /// Adopts a membership version; lower ones are ignored. The first one must be the
-    /// version of this agent's own joining.
+    /// version at which this agent joined.
     pub fn set_view(&mut self, version: u64) {
         self.joined.get_or_insert(version);
         self.view = self.view.max(version);
     }
 
-    /// From now on nothing new starts here; what was accepted goes on.
+    /// Rejects new starts from now on; accepted tasks continue.
     pub const fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Takes [`Ledger::leave`] back, unless all was handed over already.
+    /// Undoes [`Ledger::leave`], unless the records were handed over already.
     pub const fn cancel_leave(&mut self) {
-        self.leaving = self.handed;
+        self.leaving = self.handed_over;
     }
 
     /// Decides on a start message.
     pub fn start(&mut self, start: &Start, now: Wall) -> StartDecision {
-        self.latest = self.latest.max(now);
-        // Before the checks, as the job itself may be forgotten by it.
+        self.latest_time = self.latest_time.max(now);
+        // Before the checks, because the eviction may remove this very job.
         if self.bytes >= self.limit.max_bytes {
             self.evict(now);
         }
         let known = self.jobs.get(&start.job);
-        // Whoever uses an id again for other tasks must not see the first one's answers.
+        // A submission that reuses an id for other tasks must not get the first one's outcomes.
         if known.is_some_and(|record| record.digest != start.digest) {
             return StartDecision::Rejected(Reject::Mismatch);
         }
-        if let Some(verdict) = self.known(start) {
+        if let Some(verdict) = self.decide_known(start) {
             return verdict;
         }
-        if let Err(reject) = self.check(start) {
+        if let Err(reject) = self.check_new(start) {
             return StartDecision::Rejected(reject);
         }
         if start.ballot.round == Ballot::UNCLAIMED {
             return StartDecision::Run;
         }
         if self.bytes >= self.limit.max_bytes {
-            self.put(start, Stage::Void);
+            self.insert(start, Stage::Void);
             return StartDecision::Rejected(Reject::Full);
         }
-        self.put(start, Stage::Waiting);
+        self.insert(start, Stage::Waiting);
         StartDecision::Run
     }
 
-    /// Takes back an accepted start for which the agent has no room; the agent answers
-    /// `Reject::Full`. The rejected placement stays rejected, because a second copy of
-    /// the message may still be on its way while the task is placed elsewhere.
+    /// Withdraws an accepted start for which the agent has no slot or queue place; the agent
+    /// answers `Reject::Full`. The placement stays rejected, because a second copy of the
+    /// message may still arrive after the task was placed elsewhere.
     pub fn withdraw_start(&mut self, start: &Start) {
-        let slot = self.slot(start.job, start.task);
-        if let Some(slot) = slot.filter(|slot| matches!(slot.stage, Stage::Waiting)) {
-            slot.stage = Stage::Void;
+        let record = self.task_mut(start.job, start.task);
+        if let Some(record) = record.filter(|record| matches!(record.stage, Stage::Waiting)) {
+            record.stage = Stage::Void;
         }
     }
 
-    /// Moves a waiting task on, just before it is handed to the worker. False if it was
-    /// withdrawn meanwhile: then it must not be started.
+    /// Marks a waiting task as running, just before it is handed to the worker. Returns
+    /// false if the task was withdrawn in the meantime: then it must not be started.
     pub fn begin(&mut self, job: Job, task: Task) -> bool {
-        let slot = self.slot(job, task);
-        let Some(slot) = slot.filter(|slot| matches!(slot.stage, Stage::Waiting)) else {
+        let record = self.task_mut(job, task);
+        let Some(record) = record.filter(|record| matches!(record.stage, Stage::Waiting)) else {
             return false;
         };
-        slot.stage = Stage::Running;
+        record.stage = Stage::Running;
         true
     }
 
-    /// Takes back [`Ledger::begin`] for a task that is proved not to have reached the
-    /// worker: no connection came about. Its placement stays rejected, as by
-    /// [`Ledger::withdraw_start`], and the task may be placed again. Returns the attempts to be
-    /// told, each with the placement that the reject is to carry: 0 for those that
+    /// Undoes [`Ledger::begin`] for a task that is proved not to have reached the worker
+    /// because no connection was established. Its placement stays rejected, as by
+    /// [`Ledger::withdraw_start`], and the task may be placed again. Returns the attempts to
+    /// notify, each with the placement that the reject must carry: 0 for attempts that
     /// attached to the task after another one had placed it.
     pub fn revert_begin(&mut self, job: Job, task: Task) -> Vec<(Ballot, u32)> {
-        let slot = self.slot(job, task);
-        let Some(slot) = slot.filter(|slot| matches!(slot.stage, Stage::Running)) else {
+        let record = self.task_mut(job, task);
+        let Some(record) = record.filter(|record| matches!(record.stage, Stage::Running)) else {
             return Vec::new();
         };
-        slot.stage = Stage::Void;
-        let (ballot, placement) = (slot.ballot.clone(), slot.placement);
-        let told = std::mem::take(&mut slot.attached).into_iter();
-        let told = told.map(|to| (to.clone(), if to == ballot { placement } else { 0 }));
-        told.collect()
+        record.stage = Stage::Void;
+        let (ballot, placement) = (record.ballot.clone(), record.placement);
+        let attached = std::mem::take(&mut record.attached).into_iter();
+        let notified = attached.map(|to| (to.clone(), if to == ballot { placement } else { 0 }));
+        notified.collect()
     }
 
-    /// Keeps a begun task's outcome and returns the attempts to be told.
+    /// Records the outcome of a running task and returns the attempts to notify.
     pub fn end(&mut self, job: Job, task: Task, outcome: Outcome) -> Vec<Ballot> {
-        let slot = self.slot(job, task);
-        let Some(slot) = slot.filter(|slot| matches!(slot.stage, Stage::Running)) else {
+        let record = self.task_mut(job, task);
+        let Some(record) = record.filter(|record| matches!(record.stage, Stage::Running)) else {
             return Vec::new();
         };
-        slot.stage = Stage::Ended(outcome);
-        let told = slot.attached.clone();
-        self.recount(job);
-        told
+        record.stage = Stage::Ended(outcome);
+        let notified = record.attached.clone();
+        self.update_bytes(job);
+        notified
     }
 
-    /// Forgets jobs older than the limit's age, and above its bytes the oldest ones, but
-    /// none with a task that waits or runs.
+    /// Removes jobs older than the limit's age. Above the limit's bytes it also removes the
+    /// oldest ones until a tenth is free. Jobs with a waiting or running task stay.
     pub fn evict(&mut self, now: Wall) {
-        self.latest = self.latest.max(now);
-        let oldest = self.latest.minus(self.limit.max_age);
+        self.latest_time = self.latest_time.max(now);
+        let oldest = self.latest_time.minus(self.limit.max_age);
         self.floor.raise(oldest);
         let mut excess = self.bytes.saturating_sub(self.limit.max_bytes / 10 * 9);
-        let mut gone = Vec::new();
+        let mut evicted = Vec::new();
         for (job, record) in &self.jobs {
             if excess == 0 && job.issued() > oldest {
                 break;
             }
             if !record.is_active() {
-                excess = excess.saturating_sub(record.counted);
-                gone.push(*job);
+                excess = excess.saturating_sub(record.counted_bytes);
+                evicted.push(*job);
             }
         }
-        for job in gone {
-            self.forget(job);
+        for job in evicted {
+            self.remove(job);
         }
     }
 
-    /// The issue time up to which jobs may have been forgotten here, or by an agent that
-    /// handed over to this one. A hand-over takes it along.
+    /// The issue time up to which jobs may have been evicted here, or by an agent that
+    /// handed over to this one. A hand-over passes it on.
     #[must_use]
     pub fn floor(&self) -> Wall {
-        self.floor.issued().max(self.inherited.issued())
+        self.floor.issued().max(self.inherited_floor.issued())
     }
 
-    /// The bytes held now.
+    /// The bytes that all records take.
     #[must_use]
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn known(&mut self, start: &Start) -> Option<StartDecision> {
-        let slot = self.slot(start.job, start.task)?;
-        match &slot.stage {
-            Stage::Waiting | Stage::Void if start.ballot < slot.ballot => None,
+    /// The decision on a start of a task that has a record, unless the checks for a new
+    /// start must decide.
+    fn decide_known(&mut self, start: &Start) -> Option<StartDecision> {
+        let record = self.task_mut(start.job, start.task)?;
+        match &record.stage {
+            Stage::Waiting | Stage::Void if start.ballot < record.ballot => None,
             Stage::Waiting | Stage::Running => {
-                slot.attach(&start.ballot);
+                record.attach(&start.ballot);
                 Some(StartDecision::Attached)
             }
             Stage::Ended(outcome) => Some(StartDecision::Ended(outcome.clone())),
             Stage::Void => {
-                let void = (&slot.ballot, slot.placement);
-                let newer = guard::newer_start((&start.ballot, start.placement), void);
+                let void = (&record.ballot, record.placement);
+                let newer = guard::is_newer_start((&start.ballot, start.placement), void);
                 (!newer).then_some(StartDecision::Rejected(Reject::Cancelled))
             }
         }
     }
 
-    fn check(&self, start: &Start) -> Result<(), Reject> {
+    fn check_new(&self, start: &Start) -> Result<(), Reject> {
         if let Some(record) = self.jobs.get(&start.job) {
-            if !guard::above_fence(&start.ballot, &record.fence) {
+            if !guard::passes_fence(&start.ballot, &record.fence) {
                 return Err(Reject::Fenced(record.fence.clone()));
             }
             if record.closed {
@@ -255,66 +260,66 @@
         if guard::is_keeper(start.keeper.as_ref() == Some(&self.me)) {
             return Err(Reject::Keeper);
         }
-        // A gather by a membership without this agent has not fenced it.
+        // A gather under a view that lacks this agent has not fenced it.
         if self.joined.is_some_and(|joined| start.view < joined) {
             return Err(Reject::View(self.view));
         }
         if self.leaving {
             return Err(Reject::Leaving);
         }
-        if self.latest > start.start_by {
+        if self.latest_time > start.start_by {
             return Err(Reject::Expired);
         }
         Ok(())
     }
 
     pub(super) fn is_forgotten(&self, job: Job) -> bool {
-        self.floor.covers(job) || job.issued() <= self.latest.minus(self.limit.max_age)
+        self.floor.covers(job) || job.issued() <= self.latest_time.minus(self.limit.max_age)
     }
 
-    pub(super) fn slot(&mut self, job: Job, task: Task) -> Option<&mut Slot> {
+    pub(super) fn task_mut(&mut self, job: Job, task: Task) -> Option<&mut TaskRecord> {
         self.jobs.get_mut(&job)?.tasks.get_mut(task)
     }
 
-    pub(super) fn open(
+    pub(super) fn get_or_insert(
         &mut self,
         job: Job,
         digest: u64,
         ballot: &Ballot,
         view: u64,
-    ) -> &mut Record {
-        let new = || Record::new(digest, ballot.clone(), view);
+    ) -> &mut JobRecord {
+        let new = || JobRecord::new(digest, ballot.clone(), view);
         self.jobs.entry(job).or_insert_with(new)
     }
 
-    /// Counts a record's bytes anew after it has changed.
-    pub(super) fn recount(&mut self, job: Job) {
+    /// Updates the byte total after a job's record has changed.
+    pub(super) fn update_bytes(&mut self, job: Job) {
         if let Some(record) = self.jobs.get_mut(&job) {
             let bytes = record.bytes();
-            self.bytes = self.bytes.saturating_sub(record.counted) + bytes;
-            record.counted = bytes;
+            self.bytes = self.bytes.saturating_sub(record.counted_bytes) + bytes;
+            record.counted_bytes = bytes;
         }
     }
 
-    fn put(&mut self, start: &Start, stage: Stage) {
-        let record = self.open(start.job, start.digest, &start.ballot, start.view);
-        advance(record, &start.ballot, start.view);
-        // The fence's copy shares its name with the other tasks of the job.
+    fn insert(&mut self, start: &Start, stage: Stage) {
+        let record = self.get_or_insert(start.job, start.digest, &start.ballot, start.view);
+        raise_fence(record, &start.ballot, start.view);
+        // Cloning the fence shares the entry's name between all tasks of the job.
         let shared = Some(&record.fence).filter(|fence| **fence == start.ballot);
         let ballot = shared.unwrap_or(&start.ballot).clone();
-        let slot = Slot {
+        let task = TaskRecord {
             stage,
             attached: vec![ballot.clone()],
             ballot,
             placement: start.placement,
         };
-        record.tasks.insert(start.task, slot);
-        self.recount(start.job);
+        record.tasks.insert(start.task, task);
+        self.update_bytes(start.job);
     }
 
-    fn forget(&mut self, job: Job) {
+    fn remove(&mut self, job: Job) {
         if let Some(record) = self.jobs.remove(&job) {
-            self.bytes = self.bytes.saturating_sub(record.counted);
+            self.bytes = self.bytes.saturating_sub(record.counted_bytes);
             self.floor.raise(job.issued());
         }
     }
--- a/crates/cassiarock-claim/src/ledger/mod.rs
+++ b/crates/cassiarock-claim/src/ledger/mod.rs
@@ -1,10 +1,10 @@
-//! An agent's record of what it started: each guarded task begins here at most once.
+//! An agent's start ledger: the record by which each claimed task begins there at most once.
 
-mod book;
 mod fence;
 mod handover;
+mod lifecycle;
 mod record;
-mod slots;
+mod tasks;
 
-pub use book::{Ledger, StartDecision};
 pub use fence::{AcceptedFence, CancelDecision};
+pub use lifecycle::{Ledger, StartDecision};
--- a/crates/cassiarock-claim/src/ledger/record.rs
+++ b/crates/cassiarock-claim/src/ledger/record.rs
@@ -1,8 +1,8 @@
-//! What the ledger holds of one job.
+//! The ledger's records of jobs and their tasks.
 
-use super::slots::Slots;
+use super::tasks::TaskRecords;
 use crate::Ballot;
-use crate::limit::{MAP_ROOM, NAME_BYTES};
+use crate::limit::{ENTRY_NAME_BYTES, MAP_OVERHEAD_FACTOR};
 use crate::message::{Cancel, Outcome, TaskState};
 use cassiarock_id::{Job, Task};
 use std::mem::size_of;
@@ -10,36 +10,36 @@
 /// How far a task has come at this agent.
 #[derive(Debug)]
 pub(super) enum Stage {
-    /// Accepted, and not yet begun: it can be withdrawn.
+    /// Accepted and not yet begun: it can still be withdrawn.
     Waiting,
-    /// Begun.
+    /// Handed to the worker, or about to be.
     Running,
-    /// Ended.
+    /// Ended with this outcome.
     Ended(Outcome),
-    /// A placement that was rejected or withdrawn before it began.
+    /// The last placement was rejected or withdrawn before it began.
     Void,
 }
 
-/// One task at this agent.
+/// What the ledger records of one task.
 #[derive(Debug)]
-pub(super) struct Slot {
+pub(super) struct TaskRecord {
     pub(super) stage: Stage,
     /// The attempt that placed it last.
     pub(super) ballot: Ballot,
     /// That attempt's placement number.
     pub(super) placement: u32,
-    /// The attempts to be told the outcome.
+    /// The attempts to which the outcome is sent.
     pub(super) attached: Vec<Ballot>,
 }
 
-impl Slot {
+impl TaskRecord {
     pub(super) fn attach(&mut self, ballot: &Ballot) {
         if !self.attached.contains(ballot) {
             self.attached.push(ballot.clone());
         }
     }
 
-    /// Whether the slot holds a later placement than the one that `cancel` withdraws.
+    /// Whether the record is of a later placement than the one that `cancel` withdraws.
     pub(super) fn is_after(&self, cancel: &Cancel) -> bool {
         (&self.ballot, self.placement) > (&cancel.ballot, cancel.placement)
     }
@@ -49,76 +49,76 @@
     }
 }
 
-/// One job at this agent.
+/// What the ledger records of one job.
 #[derive(Debug)]
-pub(super) struct Record {
-    /// Hash over the tasks of the submission that came first.
+pub(super) struct JobRecord {
+    /// Hash over the tasks of the submission that the record belongs to.
     pub(super) digest: u64,
     /// The highest attempt seen.
     pub(super) fence: Ballot,
-    /// The highest membership version under which it was fenced or started.
+    /// The highest membership version under which the job was fenced or started.
     pub(super) view: u64,
-    /// Whether this agent witnesses that the job was refused.
+    /// Whether the job is closed here, so that nothing more of it starts.
     pub(super) closed: bool,
-    pub(super) tasks: Slots,
-    /// The bytes that the ledger has counted for the record.
-    pub(super) counted: usize,
+    pub(super) tasks: TaskRecords,
+    /// The bytes that the ledger's total includes for this record.
+    pub(super) counted_bytes: usize,
 }
 
-impl Record {
+impl JobRecord {
     pub(super) const fn new(digest: u64, fence: Ballot, view: u64) -> Self {
         Self {
             digest,
             fence,
             view,
             closed: false,
-            tasks: Slots::new(),
-            counted: 0,
+            tasks: TaskRecords::new(),
+            counted_bytes: 0,
         }
     }
 
     pub(super) fn is_active(&self) -> bool {
-        self.tasks.values().any(Slot::is_active)
+        self.tasks.values().any(TaskRecord::is_active)
     }
 
-    /// Whether nothing of the job was accepted here.
+    /// Whether no task of the job waits, runs or has ended here.
     pub(super) fn is_untouched(&self) -> bool {
-        let void = |slot: &Slot| matches!(slot.stage, Stage::Void);
+        let void = |record: &TaskRecord| matches!(record.stage, Stage::Void);
         self.tasks.values().all(void)
     }
 
-    /// What a fence reports.
-    pub(super) fn states(&self) -> Vec<(Task, TaskState)> {
-        let state = |slot: &Slot| match &slot.stage {
+    /// The states of the started and waiting tasks, as a fence report lists them.
+    pub(super) fn task_states(&self) -> Vec<(Task, TaskState)> {
+        let state = |record: &TaskRecord| match &record.stage {
             Stage::Waiting | Stage::Running => Some(TaskState::Running),
             Stage::Ended(outcome) => Some(TaskState::Ended(outcome.clone())),
             Stage::Void => None,
         };
-        let known = |(task, slot): (Task, &Slot)| Some((task, state(slot)?));
+        let known = |(task, record): (Task, &TaskRecord)| Some((task, state(record)?));
         self.tasks.iter().filter_map(known).collect()
     }
 
-    /// The bytes that the record takes, outcomes and unused room included.
+    /// The bytes that the record takes, including outcomes and unused capacity.
     pub(super) fn bytes(&self) -> usize {
-        let held: usize = self.tasks.values().map(Slot::held_bytes).sum();
-        MAP_ROOM * (size_of::<Job>() + size_of::<Self>())
-            + NAME_BYTES
-            + BLOCK_BYTES
-            + self.tasks.room() * size_of::<(Task, Slot)>()
+        let held: usize = self.tasks.values().map(TaskRecord::held_bytes).sum();
+        MAP_OVERHEAD_FACTOR * (size_of::<Job>() + size_of::<Self>())
+            + ENTRY_NAME_BYTES
+            + ALLOCATION_OVERHEAD_BYTES
+            + self.tasks.capacity() * size_of::<(Task, TaskRecord)>()
             + held
     }
 }
 
-impl Slot {
-    /// The bytes that the slot holds beyond its own size.
+impl TaskRecord {
+    /// The bytes that the record allocates beyond its own size.
     fn held_bytes(&self) -> usize {
         let outcome = match &self.stage {
-            Stage::Ended(outcome) => outcome.bytes() + BLOCK_BYTES,
+            Stage::Ended(outcome) => outcome.bytes() + ALLOCATION_OVERHEAD_BYTES,
             Stage::Waiting | Stage::Running | Stage::Void => 0,
         };
-        BLOCK_BYTES + self.attached.capacity() * size_of::<Ballot>() + outcome
+        ALLOCATION_OVERHEAD_BYTES + self.attached.capacity() * size_of::<Ballot>() + outcome
     }
 }
 
-/// What the allocator adds to a block, rounding included.
-const BLOCK_BYTES: usize = 16;
+/// Bytes that the allocator adds to each allocation, including rounding.
+const ALLOCATION_OVERHEAD_BYTES: usize = 16;
--- a/crates/cassiarock-claim/src/limit.rs
+++ b/crates/cassiarock-claim/src/limit.rs
@@ -1,9 +1,9 @@
-//! How much a ledger or keeper remembers.
+//! Age and memory bounds of ledgers and keepers.
 
 use cassiarock_id::{Job, Wall};
 use std::time::Duration;
 
-/// The bounds of a memory that must not grow with the number of jobs ever seen.
+/// How long, and in how many bytes, a ledger or keeper remembers jobs.
 ///
 /// ```
 /// use cassiarock_claim::RetentionLimit;
@@ -12,28 +12,28 @@
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RetentionLimit {
-    /// How long after its issue a job is remembered. It must exceed the longest time
-    /// in which callers resubmit, as an older id is answered "forgotten".
+    /// How long after its issue a job is remembered. It must exceed the longest time in
+    /// which callers resubmit, because older ids are answered with "forgotten".
     pub max_age: Duration,
-    /// Bytes of memory in all. Above it the oldest jobs are forgotten early.
+    /// Bytes for all jobs together. Above them the oldest jobs are forgotten early.
     pub max_bytes: usize,
 }
 
 impl RetentionLimit {
-    /// Jobs are kept for `max_age` after their issue, in at most `max_bytes` bytes.
+    /// A limit of `max_age` after a job's issue and of `max_bytes` bytes.
     #[must_use]
     pub const fn new(max_age: Duration, max_bytes: usize) -> Self {
         Self { max_age, max_bytes }
     }
 }
 
-/// The issue time up to which a memory may have forgotten jobs. An id at or below it
-/// that is not in memory must not look new: it may have been evicted.
+/// The issue time up to which jobs may have been evicted. An id issued at or before it
+/// that has no record must not be treated as new.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Floor(Wall);
+pub(crate) struct EvictionFloor(Wall);
 
-impl Floor {
-    /// Nothing forgotten.
+impl EvictionFloor {
+    /// No job has been evicted.
     pub(crate) const NONE: Self = Self(Wall::from_millis(0));
 
     pub(crate) fn covers(self, job: Job) -> bool {
@@ -49,8 +49,9 @@
     }
 }
 
-/// A map filled in ascending order leaves its nodes about half full.
-pub(crate) const MAP_ROOM: usize = 2;
+/// Factor on the size of a map's entries: a B-tree that is filled in ascending order has
+/// nodes about half full.
+pub(crate) const MAP_OVERHEAD_FACTOR: usize = 2;
 
-/// The entry's name, which a decoded message brings along in a block of its own.
-pub(crate) const NAME_BYTES: usize = 48;
+/// Bytes of the entry's name, which each decoded message allocates separately.
+pub(crate) const ENTRY_NAME_BYTES: usize = 48;
--- a/crates/cassiarock-claim/src/message/keeper.rs
+++ b/crates/cassiarock-claim/src/message/keeper.rs
@@ -1,64 +1,68 @@
-//! Between an entry and the keeper of a job.
+//! Messages between an entry and the keeper of a job.
 
 use crate::Ballot;
 use cassiarock_id::Job;
 use serde::{Deserialize, Serialize};
 
-/// What an entry asks the keeper of a job.
+/// A request by an entry to the keeper of a job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRequest {
     /// The job.
     pub job: Job,
-    /// Hash over the submission's tasks: a resubmission must be the same job.
+    /// Hash over the submission's tasks; every submission of one job must have the same.
     pub digest: u64,
-    /// What is asked.
+    /// What the entry wants to do with the job.
     pub purpose: Purpose,
     /// The membership version by which the entry chose this keeper.
     pub view: u64,
-    /// Whether no other keeper can have granted the job, by the entry's knowledge
+    /// Whether, as far as the entry knows, no other keeper can have granted the job
     /// (`view::JobScope::sole_keeper`).
     #[serde(rename = "native")]
     pub sole_keeper: bool,
-    /// The attempt that the entry would own or owns; the keeper chooses the round.
+    /// The attempt under which the entry owns the job or would own it; the keeper chooses
+    /// the round.
     pub ballot: Ballot,
 }
 
-/// Why an entry asks.
+/// What an entry wants to do with a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Purpose {
-    /// To own the job and start its tasks.
+    /// Own the job and start its tasks.
     Claim,
-    /// To own a job whose owner, with the given round, is out of reach.
+    /// Own a job whose present owner is unreachable.
     TakeOver {
         /// The round of the owner to be replaced.
         over: u32,
     },
-    /// To close the job before anything of it started: a truthful "not run".
+    /// Close the job before any of its tasks has started, so that it can be answered as
+    /// not run.
     Refuse,
 }
 
-/// The keeper's answer.
+/// A keeper's reply to a claim request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ClaimReply {
     /// The entry owns the job under this ballot and may start tasks at once.
     Granted(Ballot),
-    /// The entry must fence every agent under this ballot (or a higher one that the
-    /// reports make it choose) before it starts anything.
+    /// The entry must fence every agent under this ballot, or under a higher one that the
+    /// reports require, before it starts anything.
     Gather(Ballot),
-    /// Another entry owns the job; attach to it there.
+    /// Another attempt owns the job; attach to it at its entry.
     Owned(Ballot),
-    /// The job is closed here: the keeper grants it to nobody. It is a truthful "not
-    /// run" once a witness has closed it too (`Fence::close`), as this keeper may die.
+    /// The job is closed here: the keeper grants it to nobody. The job may be answered as
+    /// not run only once a witness has closed it too (`Fence::close`), because this keeper
+    /// may die.
     Closed,
     /// The id is in use for a job with other tasks.
     Mismatch,
-    /// The id is older than what the keeper still remembers.
+    /// The id is too old: the keeper may have evicted the job's claim.
     Forgotten,
-    /// The keeper has another membership version than the entry; the one behind reads up.
+    /// The keeper holds another membership version than the entry; the one that lags
+    /// behind must catch up.
     View(u64),
 }
 
-/// What a keeper remembers of one job, and hands over when it leaves.
+/// A keeper's record of one job, which it hands over when it leaves.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRecord {
     /// The job.
@@ -67,6 +71,6 @@
     pub digest: u64,
     /// The attempt that owns the job.
     pub owner: Ballot,
-    /// Whether it is closed as "refused, not run".
+    /// Whether the job is closed as refused and not run.
     pub closed: bool,
 }
--- a/crates/cassiarock-claim/src/message/ledger.rs
+++ b/crates/cassiarock-claim/src/message/ledger.rs
@@ -1,4 +1,4 @@
-//! Between an entry and the agents that start tasks.
+//! Messages between an entry and the agents that start tasks.
 
 use crate::Ballot;
 use cassiarock_id::{Job, Process, Task, Wall};
@@ -13,17 +13,17 @@
     pub digest: u64,
     /// The attempt under which the task is started.
     pub ballot: Ballot,
-    /// The job's keeper in the entry's view, if the view is large enough to exempt it
+    /// The job's keeper in the entry's view, if a view of the job's lifetime exempts it
     /// from gathers: it may not run the job's tasks.
     pub keeper: Option<Process>,
     /// The membership version at which the attempt was granted or gathered.
     pub view: u64,
     /// The task.
     pub task: Task,
-    /// The number of the task's placement under this ballot, from 1. A repeat of a
-    /// message carries the same number, a new placement after a reject the next.
+    /// The number of the task's placement under this ballot, from 1. A repeated message
+    /// carries the same number, a new placement after a reject the next one.
     pub placement: u32,
-    /// The wall-clock time after which the start is void.
+    /// The wall-clock time after which the start is no longer valid.
     pub start_by: Wall,
 }
 
@@ -42,8 +42,8 @@
     pub placement: u32,
 }
 
-/// Asks an agent to reject all lower attempts from now on and to report. Repeating it
-/// changes nothing and reports the present state.
+/// Asks an agent to reject all lower attempts from now on and to report what it started.
+/// Repeating it changes nothing and reports the current state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Fence {
     /// The job.
@@ -54,52 +54,53 @@
     pub ballot: Ballot,
     /// The membership version by which the entry chose the agents to be fenced.
     pub view: u64,
-    /// Whether to close the job here: the agent becomes a witness of a truthful "not
-    /// run". It consents only if it knows no task and no other attempt of the job.
+    /// Whether to close the job at this agent, so that nothing more of it starts. The agent
+    /// does so only if no task of the job waits or runs there, and if it does not know the
+    /// job or this attempt is the highest one that it has seen.
     pub close: bool,
 }
 
-/// Why an agent did not start a task or did not fence a job. Each reason but `Fenced` and
-/// `Forgotten` proves that the start message that it answers has started nothing and
+/// Why an agent did not start a task or did not fence a job. Every reason except `Fenced`
+/// and `Forgotten` proves that the start message that it answers has started nothing and
 /// never will.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Reject {
-    /// A higher attempt fenced this one; its owner goes on with the job.
+    /// A higher attempt has fenced this one; its owner continues the job.
     Fenced(Ballot),
     /// The id is in use here for a job with other tasks.
     Mismatch,
-    /// The job is closed as "refused, not run".
+    /// The job is closed: nothing more of it starts here.
     Closed,
     /// The start message arrived after its `start_by`.
     Expired,
-    /// The job was issued before the oldest that the ledger still remembers. It may have
-    /// run here.
+    /// The job was issued too long ago: the ledger may have evicted it. It may have run
+    /// here.
     Forgotten,
-    /// The agent keeps the job's claim and therefore runs none of its tasks.
+    /// The agent is the job's keeper and therefore runs none of its tasks.
     Keeper,
-    /// The agent's membership version is higher: the entry reads up first.
+    /// The agent's membership version is higher: the entry must catch up first.
     View(u64),
     /// The agent is leaving.
     Leaving,
-    /// No slot or queue place is free.
+    /// No slot and no place in the queue is free.
     Full,
     /// The task was cancelled before it began here.
     Cancelled,
 }
 
-/// What one task came to.
+/// How one task ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// The worker's answer, whole.
+    /// The worker's complete answer.
     Done(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// The worker said that the task failed.
+    /// The worker reported that the task failed.
     Failed(String),
-    /// The task was started and its end is not known.
+    /// The task was started, and how it ended is unknown.
     Lost(String),
 }
 
 impl Outcome {
-    /// The bytes that it holds besides its own size.
+    /// The length in bytes of the answer or text.
     ///
     /// ```
     /// use cassiarock_claim::message::Outcome;
@@ -114,21 +115,21 @@
     }
 }
 
-/// What a ledger knows of a task.
+/// The state of a task as a fence report gives it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TaskState {
-    /// Begun, or waiting here under the attempt that asks.
+    /// Begun, or waiting here under the fencing attempt or a higher one.
     Running,
     /// Ended.
     Ended(Outcome),
 }
 
-/// An agent's answer to a fence: from now on it rejects every lower attempt.
+/// An agent's answer to a fence: from now on it rejects every attempt below `ballot`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FenceReport {
     /// The job.
     pub job: Job,
-    /// The highest attempt that the agent has seen; equal to the fence's if it took effect.
+    /// The highest attempt that the agent has seen; the fence's own if it took effect.
     pub ballot: Ballot,
     /// The agent's membership version.
     pub view: u64,
@@ -138,7 +139,7 @@
     pub tasks: Vec<(Task, TaskState)>,
 }
 
-/// What a leaving agent hands over of one job's ledger.
+/// What a leaving agent's ledger hands over about one job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LedgerRecord {
     /// The job.
@@ -151,6 +152,6 @@
     pub view: u64,
     /// Whether the job is closed.
     pub closed: bool,
-    /// The tasks started, each with its end.
+    /// The tasks that were started, each with its outcome.
     pub tasks: Vec<(Task, Outcome)>,
 }
--- a/crates/cassiarock-claim/src/owner/gather.rs
+++ b/crates/cassiarock-claim/src/owner/gather.rs
@@ -145,7 +145,7 @@
     /// Closes the job at a witness. The keeper's word alone would be lost with it: a
     /// later gather may miss the keeper, but not the witness.
     pub(super) fn close(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
-        if guard::witnessed(false) {
+        if guard::has_witness(false) {
             return self.finish(JobOutcome::Refused);
         }
         let Some(scope) = &self.scope else {
@@ -195,7 +195,7 @@
         for (task, state) in report.tasks {
             gather.note(task, agent, state);
         }
-        if !guard::gather_whole(gather.missing.len()) {
+        if !guard::is_gather_complete(gather.missing.len()) {
             return Vec::new();
         }
         let found = std::mem::take(&mut gather.found);
--- a/crates/cassiarock-claim/src/view/history.rs
+++ b/crates/cassiarock-claim/src/view/history.rs
@@ -187,7 +187,7 @@
     #[must_use]
     pub fn is_member_since(&self, agent: &Process, since: u64) -> bool {
         let joined = self.joined.get(agent);
-        joined.is_some_and(|joined| guard::member_since(*joined, since))
+        joined.is_some_and(|joined| guard::is_member_since(*joined, since))
     }
 
     /// Whether `agent` has ended: its name has a newer incarnation, or it handed over.
--- a/crates/cassiarock-claim/src/view/scope.rs
+++ b/crates/cassiarock-claim/src/view/scope.rs
@@ -70,7 +70,7 @@
             return Some(scope);
         };
         let life = Life::new(job, keeper, self.epochs.range(born..));
-        let constant = self.settled_before(born, job) && guard::one_keeper(life.constant);
+        let constant = self.settled_before(born, job) && guard::had_one_keeper(life.constant);
         let authority = self.authority_until().is_some_and(|until| now < until);
         let keeper = Some(keeper.clone());
         scope.sole_keeper = constant && guard::has_authority(authority);
