--- a/crates/cassiarock-claim/src/ledger/lifecycle.rs
+++ b/crates/cassiarock-claim/src/ledger/lifecycle.rs
@@ -125,8 +125,8 @@
         if known.is_some_and(|record| record.digest != start.digest) {
             return StartDecision::Rejected(Reject::Mismatch);
         }
-        if let Some(verdict) = self.decide_known(start) {
-            return verdict;
+        if let Some(decision) = self.decide_known(start) {
+            return decision;
         }
         if let Err(reject) = self.check_new(start) {
             return StartDecision::Rejected(reject);
@@ -192,8 +192,8 @@
         notified
     }
 
-    /// Removes jobs older than the limit's age. Above the limit's bytes it also removes the
-    /// oldest ones until a tenth is free. Jobs with a waiting or running task stay.
+    /// Removes jobs older than the limit's age, and the oldest ones while more than nine
+    /// tenths of the limit's bytes are in use. Jobs with a waiting or running task stay.
     pub fn evict(&mut self, now: Wall) {
         self.latest_time = self.latest_time.max(now);
         let oldest = self.latest_time.minus(self.limit.max_age);
--- a/crates/cassiarock-claim/src/owner/event.rs
+++ b/crates/cassiarock-claim/src/owner/event.rs
@@ -1,4 +1,4 @@
-//! What an owner is told and what it wants done.
+//! An owner's inputs (events) and outputs (actions).
 
 use crate::Ballot;
 use crate::message::{
@@ -6,42 +6,42 @@
 };
 use cassiarock_id::{Process, Task};
 
-/// Something that happened to the job.
+/// Something that an owner must react to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The submission was admitted; the first event of an owner.
+    /// The job was submitted. If it was not admitted, [`Event::Cancelled`] comes first.
     Submitted,
-    /// The submission was not admitted, or is cancelled, or its time is over: nothing
-    /// more is to be started, and the answer must say truthfully what ran.
+    /// The submission was not admitted, was cancelled or ran out of time: nothing more may
+    /// start, and the answer must say which tasks ran.
     Cancelled,
-    /// The hard deadline: answer with what is known now.
+    /// The final deadline has passed: answer with what is known now.
     Expired,
-    /// Time to repeat what has not been answered. Repeating is always safe.
+    /// Time to repeat the messages that have not been answered. Repeating is always safe.
     Retry,
     /// The entry adopted a view.
     ViewChanged,
-    /// The keeper's answer to this attempt's ask.
+    /// The keeper's reply to a claim request of this owner.
     ClaimReply {
-        /// The view that the ask carried.
+        /// The membership version that the request carried.
         view: u64,
-        /// What was answered.
+        /// The reply.
         reply: ClaimReply,
     },
     /// An agent's answer to this attempt's fence.
     Report {
-        /// Who reports.
+        /// The agent that reports.
         agent: Process,
-        /// What it knows.
+        /// Its report.
         report: FenceReport,
     },
     /// An agent did not accept this attempt's fence.
     FenceRejected {
-        /// Who answers.
+        /// The agent that answered.
         agent: Process,
-        /// Why.
+        /// Why it did not fence the job.
         reject: Reject,
     },
-    /// A start or a cancelled placement that started nothing.
+    /// A start that was rejected, or a placement that was cancelled before it began.
     Rejected {
         /// The attempt of the start.
         ballot: Ballot,
@@ -49,98 +49,99 @@
         task: Task,
         /// The start's placement number; 0 if an earlier attempt had placed the task.
         placement: u32,
-        /// Why.
+        /// Why the task was not started.
         reject: Reject,
     },
-    /// A task's end, whichever attempt started it.
+    /// A task ended, whichever attempt started it.
     Ended {
-        /// The attempt that is told.
+        /// The attempt to which the outcome was sent.
         ballot: Ballot,
         /// The task.
         task: Task,
-        /// What it came to.
+        /// How the task ended.
         outcome: Outcome,
     },
-    /// An agent is out of reach; tasks placed there are unknown until it answers again.
+    /// An agent is unreachable; the state of tasks placed there is unknown until it answers
+    /// again.
     AgentUnreachable(Process),
-    /// That same incarnation can be reached again.
+    /// The same incarnation of the agent is reachable again.
     AgentReachable(Process),
-    /// The owner to which this one attached is out of reach or does not own the job.
+    /// The owner to which this one attached is unreachable or does not own the job.
     OwnerLost,
 }
 
-/// Something to be done for the job.
+/// Something that the caller of [`Owner::step`](super::Owner::step) must do.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Send to the keeper.
+    /// Send a claim request to the keeper.
     RequestClaim {
         /// The keeper.
         keeper: Process,
-        /// The question.
+        /// The request.
         request: ClaimRequest,
     },
-    /// Send to an agent.
+    /// Send a fence to an agent.
     Fence {
         /// The agent.
         agent: Process,
         /// The fence.
         fence: Fence,
     },
-    /// Send a start again, with its payload.
+    /// Send a start message again, with its payload.
     Start {
         /// The agent.
         agent: Process,
-        /// The head of the message.
+        /// The message without its payload.
         start: Start,
     },
-    /// Send to an agent.
+    /// Send a cancellation to an agent.
     Cancel {
         /// The agent.
         agent: Process,
         /// The cancellation.
         cancel: Cancel,
     },
-    /// Tasks may be placed: see `Owner::startable_tasks`.
+    /// Place the tasks of `Owner::startable_tasks`.
     Place,
-    /// Another attempt owns the job: get the answer from its entry, or report
-    /// `Event::OwnerLost`, also if that entry says that it does not hold the attempt
-    /// (`Owner::holds`).
+    /// Another attempt owns the job: get the answer from its entry. Report
+    /// [`Event::OwnerLost`] if that entry is unreachable or says that it does not hold the
+    /// attempt (`Owner::holds`).
     Attach(Ballot),
-    /// The job has its final answer. Nothing follows.
+    /// The job has its final result; no further action follows.
     Finish(JobOutcome),
 }
 
-/// A job's final answer.
+/// The final result of a job.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum JobOutcome {
-    /// Every task ended; the outcomes in the order of the tasks.
+    /// Every task ended with a known outcome; the outcomes are in the order of the tasks.
     Complete(Vec<Outcome>),
-    /// The job failed and may have run.
+    /// The job failed, and tasks of it may have run.
     Failed {
-        /// Why.
+        /// Why it failed.
         reason: FailureReason,
         /// What is known of each task, in order.
         outcomes: Vec<Option<Outcome>>,
     },
-    /// Nothing of the job has run or ever will.
+    /// No task of the job has run or ever will.
     Refused,
-    /// The id is in use for a job with other tasks. Nothing of this submission ran.
+    /// The id is in use for a job with other tasks. No task of this submission ran.
     Mismatch,
 }
 
-/// Why a job failed though it may have run.
+/// Why a job failed although tasks of it may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FailureReason {
-    /// It was cancelled after a task had started.
+    /// The job was cancelled after a task had started.
     Cancelled,
-    /// A task was started and its end can't be known any more.
+    /// A task was started, and how it ended can no longer be known.
     Lost,
-    /// An agent that may have run tasks of it has ended with its ledger.
+    /// An agent that may have run tasks of the job has ended, and its ledger is lost.
     Unprovable,
-    /// It was issued before the oldest job that is remembered.
+    /// The job was issued too long ago: its records may have been evicted.
     Forgotten,
-    /// The id is in use for a job with other tasks, which was found after a start.
+    /// The id is in use for a job with other tasks, which was found out only after a start.
     Mismatch,
-    /// The hard deadline came first.
+    /// The final deadline passed first.
     Expired,
 }
--- a/crates/cassiarock-claim/src/owner/mod.rs
+++ b/crates/cassiarock-claim/src/owner/mod.rs
@@ -1,12 +1,12 @@
-//! An entry's attempt to own one job: claim it, take it over, start it whole, close it.
+//! An entry's attempt to own one job: claim it or take it over, place its tasks, close it.
 
-mod asking;
+mod claiming;
 mod event;
 mod gather;
-mod machine;
 mod running;
 mod seal;
+mod state_machine;
 mod task;
 
 pub use event::{Action, Event, FailureReason, JobOutcome};
-pub use machine::Owner;
+pub use state_machine::Owner;
--- a/crates/cassiarock-claim/src/owner/machine.rs
+++ b/crates/cassiarock-claim/src/owner/state_machine.rs
@@ -1,8 +1,8 @@
-//! The owner: its phases, placements and the final answer.
+//! The owner: its phases, its placements and its final result.
 
 use super::event::{Action, Event, FailureReason, JobOutcome};
 use super::gather::Gather;
-use super::task::{Stand, Tasks};
+use super::task::{TaskStatus, Tasks};
 use crate::Ballot;
 use crate::guard;
 use crate::message::{Outcome, Purpose, Start};
@@ -10,31 +10,32 @@
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::collections::BTreeSet;
 
-/// How far the owner has come.
+/// The phase of an owner.
 #[derive(Debug)]
 pub(super) enum Phase {
     /// Not submitted yet.
     Idle,
-    /// The keeper was asked.
-    Asking { purpose: Purpose, scope: JobScope },
-    /// There is no view with agents yet.
-    Blind(Purpose),
+    /// A claim request was sent to the keeper.
+    AwaitingKeeper { purpose: Purpose, scope: JobScope },
+    /// There is no view with members yet; the request waits for one.
+    NoView(Purpose),
     /// Agents are being fenced.
     Gathering(Gather),
     /// The attempt owns the job: tasks may be placed.
     Owning,
-    /// The job is closed at the keeper, or gathered empty; a witness is asked.
+    /// The job is closed at the keeper, or a gather found no started task; a witness is
+    /// asked to close it too, once there is one.
     Closing { witness: Option<Process> },
-    /// Some tasks ran, and what is left is being closed at an agent that ran one.
+    /// Some tasks ran, and the job is being closed at an agent that ran one.
     Sealing { witness: Process },
-    /// Another attempt owns the job.
+    /// Another attempt owns the job, and its answer is awaited.
     Attached(Ballot),
-    /// Answered.
+    /// The final result was given.
     Done,
 }
 
-/// One entry's attempt to get one submission answered. It decides what may be started;
-/// where, is the caller's business.
+/// One entry's attempt to get one submission answered. It decides which tasks may be
+/// started; the code that drives it chooses the agents.
 ///
 /// ```
 /// use cassiarock_claim::message::{ClaimReply, Outcome};
@@ -72,28 +73,28 @@
 pub struct Owner {
     pub(super) job: Job,
     pub(super) digest: u64,
-    /// The attempt, at the round that was last asked for or granted.
+    /// The attempt, in the round that was last requested or granted.
     pub(super) ballot: Ballot,
     pub(super) phase: Phase,
-    /// What the views said when the attempt was granted or gathered.
+    /// The job's scope when the attempt was granted or gathered.
     pub(super) scope: Option<JobScope>,
     pub(super) tasks: Tasks,
     /// Agents that can't run tasks of this job.
-    pub(super) barred: BTreeSet<Process>,
-    pub(super) lost: BTreeSet<Process>,
-    /// Set once nothing more is to be started.
-    pub(super) stop: Option<FailureReason>,
+    pub(super) unusable_agents: BTreeSet<Process>,
+    pub(super) unreachable: BTreeSet<Process>,
+    /// Why nothing more may be started; none while tasks may.
+    pub(super) stop_reason: Option<FailureReason>,
     /// Agents at which a task of the job ended.
-    pub(super) ran: BTreeSet<Process>,
-    /// Whether the job is closed for further starts, after some tasks ran.
+    pub(super) ran_at: BTreeSet<Process>,
+    /// Whether the job was closed after some tasks had run.
     pub(super) sealed: bool,
-    /// The attempt under which all that was pending has been cancelled.
-    pub(super) withdrawn: Option<Ballot>,
+    /// The attempt under which all pending tasks were cancelled.
+    pub(super) cancelled_under: Option<Ballot>,
 }
 
 impl Owner {
-    /// The owner of a job of `tasks` tasks whose submission hashes to `digest`. `ballot`
-    /// names the entry and a serial number that this entry never used before.
+    /// An owner of a job of `tasks` tasks whose submission hashes to `digest`. `ballot`
+    /// holds the entry and a serial number that this entry has never used before.
     #[must_use]
     pub fn new(job: Job, digest: u64, tasks: u16, ballot: Ballot) -> Self {
         Self {
@@ -103,24 +104,24 @@
             phase: Phase::Idle,
             scope: None,
             tasks: Tasks::new(tasks),
-            barred: BTreeSet::new(),
-            lost: BTreeSet::new(),
-            ran: BTreeSet::new(),
+            unusable_agents: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
+            ran_at: BTreeSet::new(),
             sealed: false,
-            stop: None,
-            withdrawn: None,
+            stop_reason: None,
+            cancelled_under: None,
         }
     }
 
-    /// The attempt under which the owner acts now.
+    /// The attempt under which the owner currently acts.
     #[must_use]
     pub const fn ballot(&self) -> &Ballot {
         &self.ballot
     }
 
-    /// Whether this owner holds `attempt`, or a later one of its own. Only then may others
-    /// that were sent here wait for its answer: a keeper may name an attempt that was
-    /// never taken up, and two entries would wait for each other.
+    /// Whether this owner holds `attempt` or a later one of its own. Only then may entries
+    /// that were sent here wait for its answer: a keeper may name an attempt whose owner
+    /// never learned of it, and two entries would wait for each other.
     #[must_use]
     pub fn holds(&self, attempt: &Ballot) -> bool {
         self.ballot.same_owner(attempt) && self.ballot >= *attempt
@@ -135,60 +136,65 @@
         }
     }
 
-    /// Whether the final answer was given.
+    /// Whether the final result was given.
     #[must_use]
     pub const fn is_done(&self) -> bool {
         matches!(self.phase, Phase::Done)
     }
 
-    /// The agent that may run none of the tasks, because it keeps the claim.
+    /// The keeper that must not run tasks of the job, if there is one.
     #[must_use]
     pub fn keeper(&self) -> Option<&Process> {
         self.scope.as_ref()?.excluded_keeper.as_ref()
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the actions that follow from it.
     pub fn step(&mut self, event: Event, views: &ViewHistory, now: Wall) -> Vec<Action> {
         if self.is_done() {
             return Vec::new();
         }
         match event {
-            Event::Submitted if self.stop.is_some() => self.ask(Purpose::Refuse, views, now),
-            Event::Submitted => self.ask(Purpose::Claim, views, now),
-            Event::Cancelled => self.cancel(views, now),
+            Event::Submitted if self.stop_reason.is_some() => {
+                self.request_claim(Purpose::Refuse, views, now)
+            }
+            Event::Submitted => self.request_claim(Purpose::Claim, views, now),
+            Event::Cancelled => self.handle_cancelled(views, now),
             Event::Expired => self.fail(FailureReason::Expired),
-            Event::Retry => self.repeat(views, now),
-            Event::ViewChanged => self.viewed(views, now),
-            Event::ClaimReply { view, reply } => self.answered(view, reply, views, now),
-            Event::Report { agent, report } => self.reported(&agent, report, views, now),
-            Event::FenceRejected { agent, reject } => self.unfenced(&agent, &reject, views, now),
+            Event::Retry => self.handle_retry(views, now),
+            Event::ViewChanged => self.handle_view_changed(views, now),
+            Event::ClaimReply { view, reply } => self.handle_claim_reply(view, reply, views, now),
+            Event::Report { agent, report } => self.handle_report(&agent, report, views, now),
+            Event::FenceRejected { agent, reject } => {
+                self.handle_fence_rejected(&agent, &reject, views, now)
+            }
             Event::Rejected {
                 ballot,
                 task,
                 placement,
                 reject,
-            } => self.rejected(&ballot, task, placement, reject, views, now),
+            } => self.handle_rejected(&ballot, task, placement, reject, views, now),
             Event::Ended {
                 ballot,
                 task,
                 outcome,
-            } => self.ended(&ballot, task, outcome, views, now),
-            Event::AgentUnreachable(agent) => self.lost(agent, views, now),
-            Event::AgentReachable(agent) => self.back(&agent, views),
-            Event::OwnerLost => self.replace(views, now),
+            } => self.handle_ended(&ballot, task, outcome, views, now),
+            Event::AgentUnreachable(agent) => self.handle_agent_unreachable(agent, views, now),
+            Event::AgentReachable(agent) => self.handle_agent_reachable(&agent, views),
+            Event::OwnerLost => self.replace_owner(views, now),
         }
     }
 
     /// The tasks that may be placed now.
     pub fn startable_tasks(&self) -> impl Iterator<Item = Task> {
-        let open = matches!(self.phase, Phase::Owning) && self.stop.is_none();
-        self.tasks.free().filter(move |_| open)
+        let may_start = matches!(self.phase, Phase::Owning) && self.stop_reason.is_none();
+        self.tasks.free().filter(move |_| may_start)
     }
 
-    /// Whether tasks of the job may be placed at `agent`: not its keeper, and one that
-    /// every rival gather must reach. Under a grant that is a member in all views since
-    /// the job's birth; under a gather a member since then is enough, because agents
-    /// reject rivals that gather by an older view.
+    /// Whether tasks of the job may be placed at `agent`: it must not be the excluded keeper,
+    /// and every rival gather must reach it. Under a grant it must have been a member in
+    /// every view since the oldest one under which the job can have been started. After a
+    /// gather it is enough to be a member since the gather's view, because agents reject
+    /// rivals that gather under an older one.
     #[must_use]
     pub fn may_place_at(&self, agent: &Process, views: &ViewHistory) -> bool {
         let Some(scope) = &self.scope else {
@@ -201,11 +207,12 @@
             scope.view
         };
         !guard::is_keeper(scope.excluded_keeper.as_ref() == Some(agent))
-            && !self.barred.contains(agent)
+            && !self.unusable_agents.contains(agent)
             && views.is_member_since(agent, since)
     }
 
-    /// Places a task; the message to be sent to `agent`, or `None` if it may not be.
+    /// Places a task. Returns the message to send to `agent`, or `None` if the task may not
+    /// be placed there.
     pub fn place(
         &mut self,
         task: Task,
@@ -213,9 +220,9 @@
         start_by: Wall,
         views: &ViewHistory,
     ) -> Option<Start> {
-        let open = matches!(self.phase, Phase::Owning) && self.stop.is_none();
-        let free = matches!(self.tasks.get(task), Some(Stand::Free));
-        if !open || !free || !self.may_place_at(agent, views) {
+        let may_start = matches!(self.phase, Phase::Owning) && self.stop_reason.is_none();
+        let is_free = matches!(self.tasks.get(task), Some(TaskStatus::Free));
+        if !may_start || !is_free || !self.may_place_at(agent, views) {
             return None;
         }
         let scope = self.scope.as_ref()?;
@@ -229,7 +236,7 @@
             placement: self.tasks.next_placement(task),
             start_by,
         };
-        let placed = Stand::Placed {
+        let placed = TaskStatus::Placed {
             agent: agent.clone(),
             start: start.clone(),
         };
@@ -242,14 +249,14 @@
         vec![Action::Attach(owner)]
     }
 
-    fn cancel(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
-        self.stop.get_or_insert(FailureReason::Cancelled);
+    fn handle_cancelled(&mut self, views: &ViewHistory, now: Wall) -> Vec<Action> {
+        self.stop_reason.get_or_insert(FailureReason::Cancelled);
         match &self.phase {
-            Phase::Asking { purpose, .. } if *purpose == Purpose::Claim => {
-                self.ask(Purpose::Refuse, views, now)
+            Phase::AwaitingKeeper { purpose, .. } if *purpose == Purpose::Claim => {
+                self.request_claim(Purpose::Refuse, views, now)
             }
-            Phase::Blind(Purpose::Claim) => {
-                self.phase = Phase::Blind(Purpose::Refuse);
+            Phase::NoView(Purpose::Claim) => {
+                self.phase = Phase::NoView(Purpose::Refuse);
                 Vec::new()
             }
             Phase::Owning => self.progress(views, now),
@@ -262,7 +269,8 @@
         vec![Action::Finish(end)]
     }
 
-    /// Other tasks have the id. Nothing of this submission ran if nothing was placed.
+    /// The id belongs to a job with other tasks. No task of this submission ran if none was
+    /// placed.
     pub(super) fn mismatch(&mut self) -> Vec<Action> {
         if self.tasks.any_ended() || self.tasks.pending().next().is_some() {
             return self.fail(FailureReason::Mismatch);
@@ -275,7 +283,7 @@
         self.finish(JobOutcome::Failed { reason, outcomes })
     }
 
-    /// The answer once every task has ended.
+    /// Finishes the job once every task has ended.
     pub(super) fn complete(&mut self) -> Vec<Action> {
         let outcomes = self.tasks.outcomes();
         let whole: Option<Vec<Outcome>> = outcomes.into_iter().collect();
--- a/crates/cassiarock-claim/src/view/epoch.rs
+++ b/crates/cassiarock-claim/src/view/epoch.rs
@@ -1,4 +1,4 @@
-//! One membership version in an entry's history, and who has left it behind.
+//! One membership version in an entry's history, and which agents have adopted it.
 
 use super::View;
 use cassiarock_id::{Name, Process, Wall};
@@ -11,8 +11,8 @@
     /// When the entry learned that nobody acts by an older view any more.
     pub(super) settled: Option<Wall>,
     /// The newest incarnation per name that has held this view, or a later one, for a
-    /// lease. A name's older incarnations have ended: one process has the name's slot.
-    moved: HashMap<Name, u64>,
+    /// lease. A name's older incarnations have ended, because only one process holds a name.
+    moved_on: HashMap<Name, u64>,
 }
 
 impl Epoch {
@@ -20,32 +20,37 @@
         Self {
             view,
             settled: None,
-            moved: HashMap::new(),
+            moved_on: HashMap::new(),
         }
     }
 
-    /// Notes that `agent` has held this view for a lease; true if that is news.
-    pub(super) fn note(&mut self, agent: &Process) -> bool {
-        let newest = self.moved.entry(agent.name.clone()).or_insert(0);
-        let news = *newest < agent.incarnation;
+    /// Records that `agent` has held this view for a lease. Returns true if that was not
+    /// known yet of this or a newer incarnation.
+    pub(super) fn record_moved_on(&mut self, agent: &Process) -> bool {
+        let newest = self.moved_on.entry(agent.name.clone()).or_insert(0);
+        let is_new = *newest < agent.incarnation;
         *newest = agent.incarnation.max(*newest);
-        news
+        is_new
     }
 
-    /// Whether enough have moved that the count below can succeed at all.
+    /// Whether any agent has moved on to this view; without one it can't be settled.
     pub(super) fn may_settle(&self) -> bool {
-        !self.moved.is_empty()
+        !self.moved_on.is_empty()
     }
 
-    /// Whether a majority of an older view's members has moved on to this view.
-    /// `retired` tells of members that announced their own end by this version.
-    pub(super) fn outlived(&self, older: &View, retired: impl Fn(&Process) -> bool) -> bool {
-        let moved = |member: &&Process| {
-            let newest = self.moved.get(&member.name);
-            newest.is_some_and(|newest| *newest >= member.incarnation) || retired(member)
+    /// Whether a majority of an older view's members has moved on to this view. `has_retired`
+    /// says which members had announced their own departure by this version.
+    pub(super) fn has_majority_of(
+        &self,
+        older: &View,
+        has_retired: impl Fn(&Process) -> bool,
+    ) -> bool {
+        let has_moved_on = |member: &&Process| {
+            let newest = self.moved_on.get(&member.name);
+            newest.is_some_and(|newest| *newest >= member.incarnation) || has_retired(member)
         };
-        let count = older.members.iter().filter(moved).count();
-        // Nobody can act by a view without members, and nobody could ever outlive it.
+        let count = older.members.iter().filter(has_moved_on).count();
+        // Nobody can act by a view without members, and it could never have a majority.
         older.members.is_empty() || count > older.members.len() / 2
     }
 }
--- a/crates/cassiarock-claim/src/view/history.rs
+++ b/crates/cassiarock-claim/src/view/history.rs
@@ -1,5 +1,5 @@
-//! What an entry knows of the views: which of them is settled, and how long it may act
-//! by its own.
+//! What an entry knows of the membership's views: which of them are settled, and how long
+//! the entry may act by the newest one.
 
 use super::View;
 use super::epoch::Epoch;
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The protocol's times.
+/// The durations that the protocol depends on.
 ///
 /// ```
 /// use cassiarock_claim::view::Timing;
@@ -18,18 +18,18 @@
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Timing {
-    /// How long a majority must have held a view before older ones count as left. An
-    /// entry acts by its view for half of it after the last majority's confirmation.
+    /// How long a majority must have held a view before nobody acts by older ones any more.
+    /// An entry acts by its view for half a lease after a majority last confirmed it.
     pub lease: Duration,
-    /// How long after a view was settled a job must have been issued to count as born
-    /// within it. `lease / 2 + margin` must exceed twice the clock skew.
+    /// How long after a view was settled a job must have been issued so that no older view
+    /// can have started it. `lease / 2 + margin` must exceed twice the clock skew.
     pub margin: Duration,
     /// How long jobs are remembered, as in `RetentionLimit::max_age`.
     pub retention: Duration,
 }
 
 impl Timing {
-    /// The three times.
+    /// The timing with these three durations.
     #[must_use]
     pub const fn new(lease: Duration, margin: Duration, retention: Duration) -> Self {
         Self {
@@ -65,25 +65,26 @@
 #[derive(Debug)]
 pub struct ViewHistory {
     pub(super) timing: Timing,
-    /// From when on the views told are all that there were.
+    /// The time since which every view in force has been adopted here.
     pub(super) known_since: Wall,
-    /// The views adopted, oldest first; at least back to the latest settled one.
+    /// The adopted views, oldest first; they reach back at least to the latest settled one.
     pub(super) epochs: VecDeque<Epoch>,
     /// The version at which each present member joined.
     joined: HashMap<Process, u64>,
-    /// The version by which a member announced its own end.
+    /// The version in which a member announced its own departure.
     retired: HashMap<Process, u64>,
-    /// The last confirmation by each present member: its version and the ping's sending.
+    /// The last confirmation by each present member: its version and when the ping was sent.
     confirmed: HashMap<Process, (u64, Wall)>,
-    pub(super) authority: Option<Wall>,
-    /// By name: the newest incarnation announced, and from when on issued jobs were born
-    /// after all earlier ones had ended.
+    /// Until when this entry may claim jobs without a gather.
+    pub(super) authority_until: Option<Wall>,
+    /// By name: the newest announced incarnation, and the issue time from which on jobs can't
+    /// have run at the earlier ones.
     successors: HashMap<Name, (u64, Wall)>,
 }
 
 impl ViewHistory {
-    /// An entry that will be told every view in force at `known_since` or later. Jobs
-    /// issued before are never proved unstarted.
+    /// An empty history that must be given every view in force at `known_since` or later.
+    /// Jobs issued before that time can't be proved unstarted.
     #[must_use]
     pub fn new(timing: Timing, known_since: Wall) -> Self {
         Self {
@@ -93,13 +94,13 @@
             joined: HashMap::new(),
             retired: HashMap::new(),
             confirmed: HashMap::new(),
-            authority: None,
+            authority_until: None,
             successors: HashMap::new(),
         }
     }
 
-    /// Adopts a higher version; others are ignored. Every version must be told, in
-    /// order: one that is left out may be the one by which another entry still acts.
+    /// Adopts a higher version; others are ignored. Every version must be given, in order,
+    /// because another entry may still act by one that is left out.
     pub fn adopt(&mut self, view: View) {
         if self.version() >= Some(view.version) {
             return;
@@ -113,21 +114,22 @@
         self.epochs.push_back(Epoch::new(view));
     }
 
-    /// Notes that the removal of `member` in `version` was announced by itself, after it
-    /// had handed over its claims and its ledger: it need not be reached any more.
+    /// Records that `member` announced its own departure in `version`, after it had handed
+    /// over its claims and its ledger. Gathers need not reach it any more.
     pub fn record_retirement(&mut self, member: Process, version: u64) {
         self.retired.insert(member, version);
     }
 
-    /// Notes that `process` has taken its name's slot, and that jobs issued at `from` or
-    /// later were born after that. Its earlier incarnations cannot have run these.
+    /// Records that `process` has replaced the earlier incarnations of its name, and that
+    /// jobs issued at `from` or later were issued after that, so that those incarnations
+    /// can't have run them.
     pub fn record_successor(&mut self, process: &Process, from: Wall) {
         let newest = self.successors.entry(process.name.clone());
         let newest = newest.or_insert((process.incarnation, from));
         *newest = (*newest).max((process.incarnation, from));
     }
 
-    /// Whether `agent` had ended before the job was issued.
+    /// Whether `agent` is known to have ended before the job was issued.
     pub(super) fn ended_before(&self, agent: &Process, job: Job) -> bool {
         let newest = self.successors.get(&agent.name);
         newest.is_some_and(|(incarnation, from)| {
@@ -135,8 +137,8 @@
         })
     }
 
-    /// Takes an agent's answer to a ping sent at `sent`: it holds `version` and adopted
-    /// it `adopted_for` ago by its own monotonic clock.
+    /// Records an agent's answer to a ping sent at `sent`: the agent holds `version` and
+    /// adopted it `adopted_for` ago by its own monotonic clock.
     pub fn confirm(
         &mut self,
         agent: &Process,
@@ -149,41 +151,42 @@
             let last = self.confirmed.entry(agent.clone());
             let last = last.or_insert((version, sent));
             *last = (*last).max((version, sent));
-            self.extend(now);
+            self.extend_authority(now);
         }
         if adopted_for >= self.timing.lease {
-            self.note(agent, version, now);
+            self.record_moved_on(agent, version, now);
         }
     }
 
-    /// The version of the view in use.
+    /// The version of the newest view.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.view().map(|view| view.version)
     }
 
-    /// The view in use.
+    /// The newest view.
     #[must_use]
     pub fn view(&self) -> Option<&View> {
         self.epochs.back().map(|epoch| &epoch.view)
     }
 
-    /// When the view was found settled: nobody acts by an older one any more.
+    /// When this entry learned that the view is settled, which means that nobody acts by an
+    /// older one any more.
     #[must_use]
     pub fn settled_at(&self, version: u64) -> Option<Wall> {
         let found = self.epochs.iter().find(|e| e.view.version == version);
         found?.settled
     }
 
-    /// Until when a job may be claimed without a gather: half a lease after the latest
-    /// pings by which a majority of the view showed that it holds no later one. A
-    /// member that lags behind counts: it keeps later views from being settled as well.
+    /// Until when a job may be claimed without a gather: half a lease after the latest pings
+    /// by which a majority of the view showed that it holds no later one. A member that
+    /// lags behind counts, because it too keeps later views from being settled.
     #[must_use]
     pub const fn authority_until(&self) -> Option<Wall> {
-        self.authority
+        self.authority_until
     }
 
-    /// Whether `agent` has been a member in every view from `since` to the present one.
+    /// Whether `agent` has been a member of every view from `since` to the newest one.
     #[must_use]
     pub fn is_member_since(&self, agent: &Process, since: u64) -> bool {
         let joined = self.joined.get(agent);
@@ -198,24 +201,24 @@
         };
         let newer =
             |other: &Process| other.name == agent.name && other.incarnation > agent.incarnation;
-        self.is_retired(agent, view.version) || view.members.iter().any(newer)
+        self.has_retired_by(agent, view.version) || view.members.iter().any(newer)
     }
 
     /// Whether `agent` handed over before it ended.
     #[must_use]
     pub fn has_retired(&self, agent: &Process) -> bool {
         let version = self.version();
-        version.is_some_and(|version| self.is_retired(agent, version))
+        version.is_some_and(|version| self.has_retired_by(agent, version))
     }
 
-    /// Forgets views that only jobs too old to be remembered have lived in.
+    /// Removes views that matter only for jobs too old to be remembered.
     pub fn evict(&mut self, now: Wall) {
         let oldest = now.minus(self.timing.retention);
-        let done = |epoch: &Epoch| {
+        let is_obsolete = |epoch: &Epoch| {
             let settled = epoch.settled;
             settled.is_some_and(|at| at.plus(self.timing.margin) < oldest)
         };
-        while self.epochs.len() > 1 && done(&self.epochs[1]) {
+        while self.epochs.len() > 1 && is_obsolete(&self.epochs[1]) {
             self.epochs.pop_front();
             self.known_since = self.known_since.max(oldest);
         }
@@ -226,41 +229,41 @@
         self.retired.retain(|_, version| *version >= first);
     }
 
-    pub(super) fn is_retired(&self, member: &Process, by: u64) -> bool {
+    pub(super) fn has_retired_by(&self, member: &Process, by: u64) -> bool {
         let retired = self.retired.get(member);
         retired.is_some_and(|version| *version <= by)
     }
 
-    fn note(&mut self, agent: &Process, version: u64, now: Wall) {
+    fn record_moved_on(&mut self, agent: &Process, version: u64, now: Wall) {
         let open = (0..self.epochs.len()).filter(|at| self.epochs[*at].settled.is_none());
         for at in open.collect::<Vec<_>>() {
             let epoch = &mut self.epochs[at];
-            if epoch.view.version <= version && epoch.note(agent) {
+            if epoch.view.version <= version && epoch.record_moved_on(agent) {
                 self.settle(at, now);
             }
         }
     }
 
-    /// Settles a view once a majority of every view since the last settled one has held
-    /// it for a lease. Every one of them counts, as each may have given some entry its
-    /// authority, settled or not.
+    /// Settles a view once a majority of every view since the last settled one has held it
+    /// for a lease. Each of these views counts, because each may have given some entry its
+    /// authority, whether it was settled or not.
     fn settle(&mut self, at: usize, now: Wall) {
         let last = (0..at).rev().find(|at| self.epochs[*at].settled.is_some());
         let last = last.unwrap_or(0);
         let epoch = &self.epochs[at];
-        let retired = |member: &Process| self.is_retired(member, epoch.view.version);
-        let left = |older: usize| epoch.outlived(&self.epochs[older].view, retired);
-        if epoch.may_settle() && (last..=at).all(left) {
+        let has_retired = |member: &Process| self.has_retired_by(member, epoch.view.version);
+        let is_left = |older: usize| epoch.has_majority_of(&self.epochs[older].view, has_retired);
+        if epoch.may_settle() && (last..=at).all(is_left) {
             self.epochs[at].settled = Some(now);
         }
     }
 
-    /// Brings the authority forward. It is computed anew only when little of it is
-    /// left, because that takes a pass over all members and pings come at any rate.
-    fn extend(&mut self, now: Wall) {
+    /// Extends the authority. It is recomputed only when less than a quarter of a lease is
+    /// left, because that takes a pass over all members for each answered ping.
+    fn extend_authority(&mut self, now: Wall) {
         let half = self.timing.lease / 2;
-        let fresh = now.plus(half / 2);
-        if self.authority.is_some_and(|until| until > fresh) {
+        let threshold = now.plus(half / 2);
+        if self.authority_until.is_some_and(|until| until > threshold) {
             return;
         }
         let Some(view) = self.epochs.back().map(|epoch| &epoch.view) else {
@@ -275,6 +278,6 @@
         }
         sent.sort_unstable_by(|a, b| b.cmp(a));
         let until = sent[majority - 1].plus(half);
-        self.authority = self.authority.max(Some(until));
+        self.authority_until = self.authority_until.max(Some(until));
     }
 }
--- a/crates/cassiarock-claim/src/view/mod.rs
+++ b/crates/cassiarock-claim/src/view/mod.rs
@@ -1,4 +1,5 @@
-//! Membership versions: who keeps a job, and since when all have moved on.
+//! Membership versions (views): which agent keeps a job, and when nobody acts by an older
+//! view any more.
 
 mod epoch;
 mod history;
--- a/crates/cassiarock-claim/src/view/snapshot.rs
+++ b/crates/cassiarock-claim/src/view/snapshot.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Tells the hash of a name from that of the same bytes elsewhere.
-const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Mixed into name hashes so that they differ from hashes of the same bytes elsewhere.
+const NAME_HASH_SALT: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// From how many members on a job's keeper runs none of its tasks. In smaller views it
-/// must run them, or too few agents would be left; then it is no exempt keeper.
-const EXEMPT_FROM: usize = 3;
+/// The fewest members with which a job's keeper runs none of its tasks and is exempt from
+/// its gathers. In smaller views the keeper must run tasks, or too few agents would be left.
+const MIN_MEMBERS_FOR_EXEMPT_KEEPER: usize = 3;
 
 /// The agents that are members at one version of the membership.
 ///
@@ -28,12 +28,12 @@
     pub version: u64,
     /// The members, sorted.
     pub members: Arc<[Process]>,
-    /// A hash per member, so that ranking hashes no names.
+    /// One hash per member, so that ranking needs no hashing of names.
     hashes: Arc<[u64]>,
 }
 
 impl View {
-    /// The view `version` with these members, in any order.
+    /// The view `version` with these members, which may come in any order.
     #[must_use]
     pub fn new(version: u64, members: impl IntoIterator<Item = Process>) -> Self {
         let mut members: Vec<_> = members.into_iter().collect();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The same view but for one member.
+    /// The same view without one member.
     #[must_use]
     pub fn without(&self, member: &Process) -> Self {
         let rest = self.members.iter().filter(|other| *other != member);
@@ -67,8 +67,8 @@
         self.members.binary_search(process).is_ok()
     }
 
-    /// The agent that keeps the job's claim, by rendezvous hashing: when a member comes
-    /// or goes, only the jobs that it keeps change their keeper.
+    /// The agent that keeps the job's claim, chosen by rendezvous hashing: when a member
+    /// joins or leaves, only the jobs that it keeps change their keeper.
     #[must_use]
     pub fn keeper(&self, job: Job) -> Option<&Process> {
         let key = xxh3_64(job.as_bytes());
@@ -77,8 +77,8 @@
         self.members.get(best.0)
     }
 
-    /// The keeper, where it runs none of the job's tasks and may therefore be missing
-    /// from a gather.
+    /// The job's keeper, if the view is large enough that it runs none of the job's tasks and
+    /// may therefore be left out of a gather.
     ///
     /// ```
     /// use cassiarock_claim::view::View;
@@ -92,12 +92,12 @@
     /// ```
     #[must_use]
     pub fn exempt_keeper(&self, job: Job) -> Option<&Process> {
-        self.keeper(job).filter(|_| self.exempts())
+        self.keeper(job).filter(|_| self.has_exempt_keepers())
     }
 
     /// Whether the view is large enough for exempt keepers.
-    pub(super) fn exempts(&self) -> bool {
-        self.members.len() >= EXEMPT_FROM
+    pub(super) fn has_exempt_keepers(&self) -> bool {
+        self.members.len() >= MIN_MEMBERS_FOR_EXEMPT_KEEPER
     }
 
     /// All members, the keeper first.
@@ -118,10 +118,10 @@
     }
 }
 
-/// By the name alone: an agent that comes back keeps the jobs that it kept before, so
-/// that no other job's keeper changes by its return.
+/// Hashes the name without the incarnation: an agent that restarts keeps the same jobs as
+/// before, and its return changes no other job's keeper.
 fn hash(process: &Process) -> u64 {
-    mix(xxh3_64(process.name.as_bytes()) ^ SPREAD)
+    mix(xxh3_64(process.name.as_bytes()) ^ NAME_HASH_SALT)
 }
 
 /// The finalizer of `SplitMix64`: spreads each input bit over the whole word.
