--- a/crates/cassiarock-claim/examples/costs.rs
+++ b/crates/cassiarock-claim/examples/costs.rs
@@ -17,19 +17,20 @@
 
 const NOW: Wall = Wall::from_millis(1_700_000_000_000);
 const LEASE: Duration = Duration::from_secs(2);
-const KEPT: Duration = Duration::from_secs(600);
-/// Tasks of a job in the memory and time measurements, and bytes of an outcome.
-const TASKS: u16 = 10;
-const ANSWER: usize = 100;
-/// Repeats of each time measurement; the median and the spread are printed.
-const REPEATS: usize = 7;
+const RETENTION: Duration = Duration::from_secs(600);
+/// Tasks of a job in the memory and time measurements.
+const TASKS_PER_JOB: u16 = 10;
+/// Bytes of an outcome.
+const OUTCOME_BYTES: usize = 100;
+/// Repetitions of each time measurement; the median and the range are printed.
+const REPETITIONS: usize = 7;
 
 fn main() {
-    // Kept, so that the ledgers do not grow into its memory.
-    let _keeper = claim_memory();
-    memory();
+    // Not dropped yet, so that the ledgers don't reuse its memory.
+    let _keeper = keeper_memory();
+    ledger_memory();
     for agents in [11, 44, 176] {
-        take_over(agents);
+        take_over_costs(agents);
     }
     for agents in [11, 44, 176, 2_900] {
         scope_time(agents);
@@ -44,12 +45,12 @@
 }
 
 fn cluster(agents: usize) -> Cluster {
-    let named = |n| Process::new(format!("agent-{n}"), 1);
-    let view = View::new(1, (0..agents).map(named));
-    let timing = Timing::new(LEASE, Duration::ZERO, KEPT);
+    let agent_name = |n| Process::new(format!("agent-{n}"), 1);
+    let view = View::new(1, (0..agents).map(agent_name));
+    let timing = Timing::new(LEASE, Duration::ZERO, RETENTION);
     let mut views = ViewHistory::new(timing, NOW);
     views.adopt(view.clone());
-    let limit = RetentionLimit::new(KEPT, usize::MAX);
+    let limit = RetentionLimit::new(RETENTION, usize::MAX);
     let mut built = BTreeMap::new();
     for agent in view.members.iter() {
         views.confirm(agent, 1, LEASE, NOW, NOW);
@@ -65,11 +66,11 @@
 
 fn owner(job: Job, entry: &str) -> Owner {
     let ballot = Ballot::new(Ballot::FRESH, Process::new(entry, 1)).with_serial(1);
-    Owner::new(job, 9, TASKS, ballot)
+    Owner::new(job, 9, TASKS_PER_JOB, ballot)
 }
 
-/// Messages in both directions until tasks may be placed.
-fn drive(cluster: &mut Cluster, owner: &mut Owner, first: Event) -> usize {
+/// Counts the messages in both directions until tasks may be placed.
+fn count_messages(cluster: &mut Cluster, owner: &mut Owner, first: Event) -> usize {
     let mut messages = 0;
     let mut events = vec![first];
     while let Some(event) = events.pop() {
@@ -105,31 +106,35 @@
     messages
 }
 
-fn take_over(agents: usize) {
+fn take_over_costs(agents: usize) {
     let mut cluster = cluster(agents);
     let mut fresh = 0;
-    let mut taken = 0;
-    let mut lost = 0;
+    let mut take_over = 0;
+    let mut keeper_dead = 0;
     let mut times = Vec::new();
-    for bits in 0..REPEATS as u64 {
+    for bits in 0..REPETITIONS as u64 {
         let job = Job::with_bits(NOW, bits);
-        fresh = drive(&mut cluster, &mut owner(job, "entry-1"), Event::Submitted);
+        fresh = count_messages(&mut cluster, &mut owner(job, "entry-1"), Event::Submitted);
         let began = Instant::now();
-        taken = drive(&mut cluster, &mut owner(job, "entry-2"), Event::Submitted);
+        take_over = count_messages(&mut cluster, &mut owner(job, "entry-2"), Event::Submitted);
         times.push(began.elapsed());
 
         let job = Job::with_bits(NOW, 1_000 + bits);
-        let mut alone = owner(job, "entry-3");
-        alone.step(Event::Submitted, &cluster.views, NOW);
+        let mut without_keeper = owner(job, "entry-3");
+        without_keeper.step(Event::Submitted, &cluster.views, NOW);
         let Some(keeper) = cluster.view.keeper(job).cloned() else {
             continue;
         };
-        lost = 1 + drive(&mut cluster, &mut alone, Event::AgentUnreachable(keeper));
+        keeper_dead = 1 + count_messages(
+            &mut cluster,
+            &mut without_keeper,
+            Event::AgentUnreachable(keeper),
+        );
     }
-    let time = spread(times);
+    let time = median_and_range(times);
     println!(
         "{agents} agents: messages before the first start: fresh job {fresh}, take-over \
-         {taken}, keeper dead {lost}; decisions of a take-over at all processes {time}"
+         {take_over}, keeper dead {keeper_dead}; decisions of a take-over at all processes {time}"
     );
 }
 
@@ -143,7 +148,7 @@
         }
         began.elapsed() / JOBS
     };
-    let time = spread((0..REPEATS).map(|_| run()).collect());
+    let time = median_and_range((0..REPETITIONS).map(|_| run()).collect());
     println!("{agents} agents: an entry's look-up of a job's keeper takes {time}");
 }
 
@@ -166,12 +171,12 @@
     let run = |guarded: bool| {
         let mut ledger = Ledger::new(
             Process::new("agent-1", 1),
-            RetentionLimit::new(KEPT, usize::MAX),
+            RetentionLimit::new(RETENTION, usize::MAX),
         );
         let began = Instant::now();
         for bits in 0..JOBS {
             let job = Job::with_bits(NOW, u64::from(bits));
-            for task in 0..TASKS {
+            for task in 0..TASKS_PER_JOB {
                 let mut start = start(job, task, &entry);
                 start.ballot.round = if guarded {
                     Ballot::FRESH
@@ -180,20 +185,22 @@
                 };
                 assert_eq!(ledger.start(&start, NOW), StartDecision::Run);
                 ledger.begin(job, start.task);
-                let outcome = Outcome::Done(vec![0; ANSWER]);
+                let outcome = Outcome::Done(vec![0; OUTCOME_BYTES]);
                 black_box(ledger.end(job, start.task, outcome));
             }
         }
-        began.elapsed() / (JOBS * u32::from(TASKS))
+        began.elapsed() / (JOBS * u32::from(TASKS_PER_JOB))
     };
-    let guarded = spread((0..REPEATS).map(|_| run(true)).collect());
-    let free = spread((0..REPEATS).map(|_| run(false)).collect());
-    println!("an agent's decisions per task (start, begin, end): guarded {guarded}, not {free}");
+    let guarded = median_and_range((0..REPETITIONS).map(|_| run(true)).collect());
+    let unguarded = median_and_range((0..REPETITIONS).map(|_| run(false)).collect());
+    println!(
+        "an agent's decisions per task (start, begin, end): guarded {guarded}, not {unguarded}"
+    );
     let run = || {
         let view = View::new(1, [Process::new("agent-1", 1)]);
         let mut keeper = Keeper::new(
             view.members[0].clone(),
-            RetentionLimit::new(KEPT, usize::MAX),
+            RetentionLimit::new(RETENTION, usize::MAX),
         );
         let began = Instant::now();
         for bits in 0..JOBS {
@@ -203,55 +210,56 @@
         }
         began.elapsed() / JOBS
     };
-    let time = spread((0..REPEATS).map(|_| run()).collect());
+    let time = median_and_range((0..REPETITIONS).map(|_| run()).collect());
     println!("a keeper's decision per claim: {time}");
 }
 
-/// The ledger's own count against the growth of the process.
-fn memory() {
+/// Compares the bytes that the ledger counts with the growth of the process.
+fn ledger_memory() {
     const JOBS: u64 = 100_000;
-    // Kept to the end, so that no ledger grows into the memory of the one before.
-    let mut kept = Vec::new();
-    for tasks in [1, TASKS, 100] {
+    // Not dropped until the end, so that no ledger reuses the memory of the one before.
+    let mut ledgers = Vec::new();
+    for tasks in [1, TASKS_PER_JOB, 100] {
         let mut ledger = Ledger::new(
             Process::new("agent-1", 1),
-            RetentionLimit::new(KEPT, usize::MAX),
+            RetentionLimit::new(RETENTION, usize::MAX),
         );
-        let before = resident();
+        let before = resident_bytes();
         let jobs = JOBS / u64::from(tasks);
         for bits in 0..jobs {
             let job = Job::with_bits(NOW, bits);
             for task in 0..tasks {
-                // A decoded message brings its own copy of the entry's name.
+                // Each decoded message allocates its own copy of the entry's name.
                 let start = start(job, task, &Process::new("entry-1", 1));
                 ledger.start(&start, NOW);
                 ledger.begin(job, start.task);
-                ledger.end(job, start.task, Outcome::Done(vec![0; ANSWER]));
+                ledger.end(job, start.task, Outcome::Done(vec![0; OUTCOME_BYTES]));
             }
         }
         let all = jobs * u64::from(tasks);
         let counted = ledger.bytes() as u64 / all;
-        let grown = resident().saturating_sub(before) / all;
+        let growth = resident_bytes().saturating_sub(before) / all;
         println!(
-            "ledger, {tasks} tasks of a job at one agent, {ANSWER} bytes of answer each: \
-             {counted} bytes per task counted, {grown} by the process's growth"
+            "ledger, {tasks} tasks of a job at one agent, {OUTCOME_BYTES} bytes of answer each: \
+             {counted} bytes per task counted, {growth} by the process's growth"
         );
-        kept.push(ledger);
+        ledgers.push(ledger);
     }
 }
 
-fn claim_memory() -> Keeper {
+/// Compares the bytes that the keeper counts with the growth of the process.
+fn keeper_memory() -> Keeper {
     const JOBS: u64 = 100_000;
     let me = Process::new("agent-1", 1);
     let view = View::new(1, [me.clone()]);
-    let mut keeper = Keeper::new(me, RetentionLimit::new(KEPT, usize::MAX));
-    let before = resident();
+    let mut keeper = Keeper::new(me, RetentionLimit::new(RETENTION, usize::MAX));
+    let before = resident_bytes();
     for bits in 0..JOBS {
         keeper.answer(&ask(Job::with_bits(NOW, bits)), &view, NOW);
     }
     let counted = keeper.bytes() as u64 / JOBS;
-    let grown = resident().saturating_sub(before) / JOBS;
-    println!("keeper: {counted} bytes per claim counted, {grown} by the process's growth");
+    let growth = resident_bytes().saturating_sub(before) / JOBS;
+    println!("keeper: {counted} bytes per claim counted, {growth} by the process's growth");
     keeper
 }
 
@@ -266,17 +274,17 @@
     }
 }
 
-/// Resident bytes of this process; 0 where the system does not say.
-fn resident() -> u64 {
+/// Resident bytes of this process; 0 if the system does not report them.
+fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
     pages.and_then(|pages| pages.parse().ok()).unwrap_or(0) * PAGE
 }
 
-fn spread(mut times: Vec<Duration>) -> String {
+fn median_and_range(mut times: Vec<Duration>) -> String {
     times.sort_unstable();
     let median = times[times.len() / 2];
-    let (least, most) = (times[0], times[times.len() - 1]);
-    format!("{median:.1?} ({least:.1?} to {most:.1?})")
+    let (min, max) = (times[0], times[times.len() - 1]);
+    format!("{median:.1?} ({min:.1?} to {max:.1?})")
 }
--- a/crates/cassiarock-claim/tests/ledger.rs
+++ b/crates/cassiarock-claim/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The start ledger's decisions.
+//! Tests of the start ledger's decisions.
 
 use cassiarock_claim::ledger::{CancelDecision, Ledger, StartDecision};
 use cassiarock_claim::message::{Cancel, Fence, Outcome, Reject, Start, TaskState};
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 const NOW: Wall = Wall::from_millis(1_000_000);
-const KEPT: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 
 fn ledger() -> Ledger {
-    let mut ledger = Ledger::new(agent(1), RetentionLimit::new(KEPT, 4_000));
+    let mut ledger = Ledger::new(agent(1), RetentionLimit::new(RETENTION, 4_000));
     ledger.set_view(5);
     ledger
 }
@@ -55,15 +55,15 @@
     after_its_time = { Start { start_by: NOW.minus(Duration::from_millis(1)), ..start(1, ballot(1, 1)) }, Reject::Expired },
     at_its_keeper = { Start { keeper: Some(agent(1)), ..start(1, ballot(1, 1)) }, Reject::Keeper },
     from_a_view_without_this_agent = { Start { view: 4, ..start(1, ballot(1, 1)) }, Reject::View(5) },
-    of_a_job_older_than_the_memory = { Start { job: Job::with_bits(NOW.minus(KEPT), 1), ..start(1, ballot(1, 1)) }, Reject::Forgotten },
+    of_a_job_older_than_the_retention = { Start { job: Job::with_bits(NOW.minus(RETENTION), 1), ..start(1, ballot(1, 1)) }, Reject::Forgotten },
 )]
 fn a_start_is_rejected(start: Start, reason: Reject) {
     assert_eq!(ledger().start(&start, NOW), StartDecision::Rejected(reason));
 }
 
-// A start message is sent, its connection goes silent, and the entry sends it again on a
-// new one. The agent has no room and says so; the entry places the task elsewhere. Then
-// the first copy arrives: it must not start the task a second time.
+// A start message is sent twice because its first connection stalls. The agent rejects the
+// second copy as full, and the entry places the task elsewhere. When the first copy arrives
+// later, it must not start the task a second time.
 #[test]
 fn a_rejected_placement_stays_rejected_and_the_next_one_passes() {
     let mut ledger = ledger();
@@ -120,8 +120,8 @@
     assert_eq!(fenced.withdrawn, [Task(0)]);
     assert_eq!(fenced.report.tasks, [(Task(1), TaskState::Running)]);
     assert!(!ledger.begin(waiting.job, waiting.task));
-    let told = ledger.end(running.job, running.task, done());
-    assert_eq!(told, [ballot(1, 1), high.clone()]);
+    let notified = ledger.end(running.job, running.task, done());
+    assert_eq!(notified, [ballot(1, 1), high.clone()]);
     let low = Start {
         task: Task(2),
         ..waiting
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_job_is_closed_only_where_nothing_of_it_is_known() {
+fn a_job_is_closed_only_where_no_task_and_no_other_attempt_is_known() {
     let mut ledger = ledger();
     let unknown = start(1, ballot(1, 1));
     let closed = ledger.fence(&fence(&unknown, ballot(1, 1), true), NOW);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn eviction_keeps_to_the_bytes_spares_running_tasks_and_leaves_no_id_looking_new() {
+fn eviction_stays_within_the_limit_keeps_running_tasks_and_treats_no_evicted_id_as_new() {
     let mut ledger = ledger();
     let running = start(0, ballot(1, 1));
     ledger.start(&running, NOW);
@@ -193,12 +193,12 @@
     };
     let forgotten = StartDecision::Rejected(Reject::Forgotten);
     assert_eq!(ledger.start(&evicted, NOW), forgotten);
-    let blind = ledger.fence(&fence(&evicted, ballot(2, 1), false), NOW);
-    assert_eq!(blind, Err(Reject::Forgotten));
+    let fenced = ledger.fence(&fence(&evicted, ballot(2, 1), false), NOW);
+    assert_eq!(fenced, Err(Reject::Forgotten));
 }
 
 #[test]
-fn a_leaving_agent_hands_its_ends_to_two_others() {
+fn a_leaving_agent_hands_its_outcomes_to_two_others() {
     let mut leaving = ledger();
     let start = start(1, ballot(1, 1));
     leaving.start(&start, NOW);
@@ -214,33 +214,33 @@
     let later = fence(&start, ballot(2, 1), false);
     let mut sent = leaving.hand_over(&View::new(5, (1..5).map(agent)));
     assert_eq!(leaving.fence(&later, NOW), Err(Reject::Leaving));
-    // The others get the floor alone.
-    sent.retain(|(_, kept)| !kept.is_empty());
+    // Further agents get only the floor.
+    sent.retain(|(_, records)| !records.is_empty());
     assert_eq!(sent.len(), 2);
-    for (to, kept) in sent {
+    for (to, records) in sent {
         assert_ne!(to, agent(1));
-        let mut next = Ledger::new(to, RetentionLimit::new(KEPT, 4_000));
-        next.accept_handover(kept, leaving.floor());
+        let mut next = Ledger::new(to, RetentionLimit::new(RETENTION, 4_000));
+        next.accept_handover(records, leaving.floor());
         let fenced = next.fence(&later, NOW);
         let tasks = fenced.unwrap().report.tasks;
         assert_eq!(tasks, [(Task(0), TaskState::Ended(done()))]);
     }
 }
 
-// An agent has run a job and forgotten it for want of memory, and leaves. The job is taken
-// over elsewhere: its successors must not let it look as if nothing of it had run.
+// An agent that has evicted a job leaves, and another entry takes the job over. The agent's
+// successors must not report that no task of the job had run.
 #[test]
-fn what_a_leaving_agent_had_forgotten_is_not_reported_as_unstarted() {
+fn a_job_evicted_by_a_leaving_agent_is_not_reported_as_unstarted() {
     let mut leaving = ledger();
-    leaving.evict(NOW.plus(KEPT));
+    leaving.evict(NOW.plus(RETENTION));
     let old = start(1, ballot(1, 1));
     let sent = leaving.hand_over(&View::new(5, (1..5).map(agent)));
     assert_eq!(sent.len(), 2);
-    for (to, kept) in sent {
-        let mut next = Ledger::new(to, RetentionLimit::new(KEPT, 4_000));
+    for (to, records) in sent {
+        let mut next = Ledger::new(to, RetentionLimit::new(RETENTION, 4_000));
         let before = next.fence(&fence(&old, ballot(2, 1), false), NOW);
         assert!(before.is_ok());
-        next.accept_handover(kept, leaving.floor());
+        next.accept_handover(records, leaving.floor());
         let after = next.fence(&fence(&old, ballot(3, 1), false), NOW);
         assert_eq!(after, Err(Reject::Forgotten));
     }
--- a/crates/cassiarock-claim/tests/mutant/guard.rs
+++ b/crates/cassiarock-claim/tests/mutant/guard.rs
@@ -1,4 +1,4 @@
-//! `src/guard.rs` with one check switched off at a time.
+//! A version of `src/guard.rs` in which one check at a time can be switched off.
 
 use crate::Ballot;
 use std::cell::Cell;
@@ -14,73 +14,73 @@
     Keeper,
     Witness,
     View,
-    Birth,
+    Membership,
     Constancy,
     Authority,
-    Handed,
+    HandOver,
 }
 
 thread_local! {
-    static OFF: Cell<Option<Check>> = const { Cell::new(None) };
+    static SWITCHED_OFF: Cell<Option<Check>> = const { Cell::new(None) };
 }
 
-/// Switches `check` off in this thread.
+/// Switches `check` off in this thread, and every other check on.
 pub fn switch_off(check: Option<Check>) {
-    OFF.set(check);
+    SWITCHED_OFF.set(check);
 }
 
-fn off(check: Check) -> bool {
-    OFF.get() == Some(check)
+fn is_off(check: Check) -> bool {
+    SWITCHED_OFF.get() == Some(check)
 }
 
 pub(crate) fn passes_fence(ballot: &Ballot, fence: &Ballot) -> bool {
-    off(Check::Fence) || ballot >= fence
+    is_off(Check::Fence) || ballot >= fence
 }
 
 pub(crate) fn is_same_attempt(asked: &Ballot, granted: &Ballot) -> bool {
-    off(Check::Attempt) || asked.same_owner(granted)
+    is_off(Check::Attempt) || asked.same_owner(granted)
 }
 
 pub(crate) fn is_gather_complete(missing: usize) -> bool {
-    off(Check::Gather) || missing == 0
+    is_off(Check::Gather) || missing == 0
 }
 
 pub(crate) fn is_same_view(asked: u64, own: u64) -> bool {
-    off(Check::Version) || asked == own
+    is_off(Check::Version) || asked == own
 }
 
 pub(crate) fn is_sole_keeper(sole_keeper: bool) -> bool {
-    off(Check::Version) || sole_keeper
+    is_off(Check::Version) || sole_keeper
 }
 
 pub(crate) fn is_newer_start(start: (&Ballot, u32), void: (&Ballot, u32)) -> bool {
-    off(Check::Repeat) || start > void
+    is_off(Check::Repeat) || start > void
 }
 
-pub(crate) fn is_keeper(named: bool) -> bool {
-    !off(Check::Keeper) && named
+pub(crate) fn is_keeper(excluded: bool) -> bool {
+    !is_off(Check::Keeper) && excluded
 }
 
-pub(crate) fn has_witness(closed: bool) -> bool {
-    off(Check::Witness) || closed
+pub(crate) fn has_witness(witnessed: bool) -> bool {
+    is_off(Check::Witness) || witnessed
 }
 
 pub(crate) fn is_current_view(fence: u64, seen: u64) -> bool {
-    off(Check::View) || fence >= seen
+    is_off(Check::View) || fence >= seen
 }
 
 pub(crate) fn is_member_since(joined: u64, since: u64) -> bool {
-    off(Check::Birth) || joined <= since
+    is_off(Check::Membership) || joined <= since
 }
 
 pub(crate) fn had_one_keeper(constant: bool) -> bool {
-    off(Check::Constancy) || constant
+    is_off(Check::Constancy) || constant
 }
 
 pub(crate) fn has_authority(has: bool) -> bool {
-    off(Check::Authority) || has
+    is_off(Check::Authority) || has
 }
 
 pub(crate) fn is_handed_over(handed: bool) -> bool {
-    !off(Check::Handed) && handed
+    !is_off(Check::HandOver) && handed
 }
--- a/crates/cassiarock-claim/tests/mutants.rs
+++ b/crates/cassiarock-claim/tests/mutants.rs
@@ -1,9 +1,9 @@
-//! With one check of the protocol switched off the search finds a broken promise: so the
-//! search can fail, and each of these checks is needed.
+//! Mutation tests: with one check of the protocol switched off, the search must find a
+//! violation. This shows that the search can fail and that each of these checks is needed.
 //!
-//! The sources are compiled here a second time with `mutant/guard.rs` in the place of
-//! `src/guard.rs`. No build of the package itself holds a switch, which a feature or a
-//! constructor would bring into the daemons' builds.
+//! The sources are compiled here a second time with `mutant/guard.rs` in place of
+//! `src/guard.rs`. A switch behind a feature or a constructor would end up in the daemons'
+//! builds.
 #![allow(dead_code, missing_docs, unused_imports)]
 
 #[path = "../src/ballot.rs"]
@@ -29,9 +29,9 @@
 use limit::RetentionLimit;
 use sim::Step::{self, *};
 
-/// More than in `promises.rs`, to leave room; a search ends with the first fault met.
+/// More runs than in `promises.rs`, as a reserve; a search ends at the first violation.
 const CASES: u32 = 20_000;
-const LENGTH: usize = 300;
+const MAX_STEPS: usize = 300;
 
 mod claim {
     pub(crate) use crate::{Ballot, RetentionLimit, keeper, ledger, message, owner, view};
@@ -46,16 +46,16 @@
     the_witness_of_a_refusal = { Check::Witness },
     the_keepers_constancy = { Check::Constancy },
 )]
-fn the_search_misses(check: Check) {
+fn the_search_finds_a_violation_without(check: Check) {
     guard::switch_off(Some(check));
-    let found = sim::search(CASES, LENGTH, sim::TIGHT, |_| Ok(()));
+    let found = sim::search(CASES, MAX_STEPS, sim::SMALL_MEMORY, |_| Ok(()));
     println!("{check:?}: {found:?}");
     assert!(found.is_err());
 }
 
-// Checks whose fault the search meets only once in tens of thousands of runs, too seldom for a test
-// that takes seconds. These are the runs that it found: they break a promise without the
-// check and none with it.
+// Runs for checks whose absence the search detects only once in tens of thousands of runs, too
+// rarely for a test that takes seconds. Each run, found by such a search, violates a guarantee
+// without its check and none with it.
 const OLD_GATHER: &[Step] = &[
     Issue,
     Issue,
@@ -172,11 +172,11 @@
 #[yare::parameterized(
     the_check_for_repeated_starts = { Check::Repeat, 4, CANCELLED_FIRST },
     the_view_check_of_fences = { Check::View, 2, OLD_GATHER },
-    the_birth_rule = { Check::Birth, 2, LATE_MEMBER },
+    the_membership_rule = { Check::Membership, 2, LATE_MEMBER },
     the_authority = { Check::Authority, 4, CUT_OFF_ENTRY },
-    the_end_of_a_ledger = { Check::Handed, 2, GONE_WITNESS },
+    the_check_for_a_handed_over_ledger = { Check::HandOver, 2, GONE_WITNESS },
 )]
-fn one_run_misses(check: Check, agents: usize, steps: &[Step]) {
+fn a_recorded_run_violates_a_guarantee_without(check: Check, agents: usize, steps: &[Step]) {
     guard::switch_off(None);
     assert_eq!(violation(agents, steps), None);
     guard::switch_off(Some(check));
@@ -184,7 +184,7 @@
 }
 
 fn violation(agents: usize, steps: &[Step]) -> Option<String> {
-    let mut world = sim::World::new(agents, sim::TIGHT);
+    let mut world = sim::World::new(agents, sim::SMALL_MEMORY);
     steps.iter().for_each(|step| world.step(*step));
-    world.truth.violation
+    world.oracle.violation
 }
--- a/crates/cassiarock-claim/tests/promises.rs
+++ b/crates/cassiarock-claim/tests/promises.rs
@@ -1,45 +1,50 @@
-//! Random interleavings never break a promise, and those that once did still don't.
+//! Searches random interleavings for violations of the protocol's guarantees, and replays
+//! runs that once violated one.
 
 use cassiarock_claim as claim;
 
 mod sim;
 
+use sim::Oracle;
 use sim::Step::{self, *};
-use sim::Truth;
 
-/// Enough runs for each mutant to be found several times over, in a few seconds.
+/// Enough runs to find each mutant several times, in a few seconds.
 const CASES: u32 = 6_000;
-/// Steps of the longest runs.
-const LENGTH: usize = 300;
+const MAX_STEPS: usize = 300;
 
 #[test]
-fn no_interleaving_starts_twice_or_answers_falsely() {
-    let mut sum = Truth::default();
-    let found = sim::search(CASES, LENGTH, sim::TIGHT, |world| {
-        sum.complete += world.truth.complete;
-        sum.gathered += world.truth.gathered;
-        sum.mismatches += world.truth.mismatches;
-        sum.refusals += world.truth.refused.len();
-        for (reason, count) in &world.truth.failed {
-            *sum.failed.entry(reason.clone()).or_default() += count;
+fn no_interleaving_starts_a_task_twice_or_gives_a_false_answer() {
+    let mut total = Oracle::default();
+    let found = sim::search(CASES, MAX_STEPS, sim::SMALL_MEMORY, |world| {
+        total.complete += world.oracle.complete;
+        total.gathered += world.oracle.gathered;
+        total.mismatches += world.oracle.mismatches;
+        total.refusals += world.oracle.refused.len();
+        for (reason, count) in &world.oracle.failed {
+            *total.failed.entry(reason.clone()).or_default() += count;
         }
         Ok(())
     });
-    println!("{sum:?}");
+    println!("{total:?}");
     assert_eq!(found, Ok(()));
-    // A search in which one kind of answer hardly comes up would prove little about it.
-    let counts = [sum.complete, sum.gathered, sum.refusals, sum.mismatches];
+    // A search in which one kind of answer rarely occurs would prove little about it.
+    let counts = [
+        total.complete,
+        total.gathered,
+        total.refusals,
+        total.mismatches,
+    ];
     assert!(counts.iter().all(|count| *count > 100), "{counts:?}");
 }
 
-// While no process is lost for good, every submission gets its answer once messages pass
-// and views are read again: nothing is left waiting for what never comes.
+// As long as no agent is lost for good, every submission must be answered once messages are
+// delivered and the log is read again: nothing may wait for a message that never comes.
 #[test]
 fn every_submission_is_answered_once_the_faults_end() {
-    let found = sim::search(CASES / 2, LENGTH / 2, sim::AMPLE, |world| {
+    let found = sim::search(CASES / 2, MAX_STEPS / 2, sim::LARGE_MEMORY, |world| {
         let (waiting, lost) = (world.heal(), world.has_lost_agents());
-        match &world.truth.violation {
-            Some(broken) => Err(broken.clone()),
+        match &world.oracle.violation {
+            Some(violation) => Err(violation.clone()),
             None if waiting.is_empty() || lost => Ok(()),
             None => Err(format!("submissions {waiting:?} have no answer")),
         }
@@ -47,10 +52,10 @@
     assert_eq!(found, Ok(()));
 }
 
-// Three agents, one of which is removed. An entry at the new view of two names no keeper in
-// its starts, as two agents are too few for an exempt one, and the keeper runs a task.
-// Another entry still holds the view of three, gathers without the keeper, finds nothing
-// and answers "not run" (or starts the task again).
+// One of three agents is removed. An entry at the new view named no keeper in its starts,
+// because two agents are too few for an exempt keeper, and the keeper ran a task. Another
+// entry still held the view of three, gathered without the keeper, found nothing and answered
+// "not run" (or started the task again).
 const SHRUNK_AND_REFUSED: &[Step] = &[
     Issue,
     Tick(700),
@@ -108,9 +113,9 @@
     Begin(133, 0),
 ];
 
-// An entry gathers a job and starts it. An agent restarts and is the next keeper; a second
-// entry claims the job there, is told to gather, and its caller cancels. The keeper closed
-// the claim as that entry's own, which was answered "not run" while the job ran.
+// An entry gathers a job and starts it. A restarted agent becomes the next keeper; a second
+// entry claims the job there and is told to gather, and its caller cancels. The keeper closed
+// the claim as that entry's own, and the job was answered as "not run" while it ran.
 const CLOSED_UNGATHERED: &[Step] = &[
     Tick(5095),
     Tick(440),
@@ -144,10 +149,10 @@
     Flush(6),
 ];
 
-// An entry misses the keeper, gathers and dies. The job is refused at another entry: the
-// keeper closes it, but the agents are fenced by the dead owner, and the second entry went
-// from the one to the other for ever instead of gathering.
-const FENCED_BY_THE_DEAD: &[Step] = &[
+// An entry can't reach the keeper, gathers and dies. The job is refused at another entry: the
+// keeper closes it, but the agents are fenced by the dead owner. The second entry asked the
+// keeper and the agents in turn forever instead of gathering.
+const FENCED_BY_DEAD_OWNER: &[Step] = &[
     Issue,
     Submit(119, 0),
     Lose(0),
@@ -159,9 +164,9 @@
     Refuse(27, 21),
 ];
 
-// An entry claims a job at its keeper, reads a new view with another keeper and asks there
-// as well; the first grant arrives, and its starts name the second keeper. The first one
-// runs a task, which a gather without it misses.
+// An entry claims a job at its keeper, reads a new view with another keeper and claims it
+// there as well. When the first grant arrived, the starts named the second keeper; the first
+// one then ran a task, which a gather without it missed.
 const GRANTED_LATE: &[Step] = &[
     Join,
     Issue,
@@ -176,9 +181,10 @@
     Deliver(16193),
 ];
 
-// A keeper leaves. Its successor has given the id to a submission of other tasks, takes the
-// first owner over and keeps the second hash: the second caller got the first one's answer.
-const CROSSED: &[Step] = &[
+// A keeper leaves and hands over a claim. Its successor had granted the id to a submission of
+// other tasks; it adopted the first owner but kept the second hash, and the second caller got
+// the first one's answer.
+const CLAIMS_MIXED_UP: &[Step] = &[
     Tick(477),
     Tick(2641),
     Tick(314),
@@ -188,13 +194,13 @@
     Submit(29, 0),
     Flush(2),
     Leave(98),
-    Impostor(105, 0),
+    SubmitOtherTasks(105, 0),
     Join,
 ];
 
-// An agent is short of memory. A start makes room by forgetting the very job it belongs to,
-// opens a new record for it, and a repeat of a task that had ended begins again.
-const FORGOTTEN_MEANWHILE: &[Step] = &[
+// An agent is short of memory. A start evicted the very job that it belongs to and opened a
+// new record for it, and a repeat of a task that had ended began again.
+const EVICTED_BY_OWN_START: &[Step] = &[
     Issue,
     Submit(11, 0),
     Read(0),
@@ -233,10 +239,10 @@
     Begin(72, 0),
 ];
 
-// A task ends, the message that says so is lost, and the agent forgets the job for want of
-// memory. The entry sends the start again and is told "forgotten": it took that for proof
-// that the task had not started and placed it elsewhere.
-const FORGOTTEN_SINCE: &[Step] = &[
+// A task ends, its outcome is lost on the way, and the agent evicts the job. The entry sends
+// the start again and gets "forgotten": it took that as proof that the task had not started
+// and placed it elsewhere.
+const EVICTED_BEFORE_REPEAT: &[Step] = &[
     Submit(0, 0),
     Read(0),
     Issue,
@@ -248,14 +254,14 @@
     Submit(2, 33),
     Place(40, 32),
     Flush(2),
-    Cut(67, 110),
-    Cut(32, 5),
+    ToggleLink(67, 110),
+    ToggleLink(32, 5),
     Begin(44, 0),
     End(104, 0),
     Flush(2),
     Place(68, 0),
     Flush(5),
-    Cut(232, 30),
+    ToggleLink(232, 30),
     Deliver(0),
     Deliver(0),
     Place(55, 1),
@@ -264,20 +270,20 @@
 ];
 
 #[yare::parameterized(
-    a_start_forgets_its_own_job = { 2, FORGOTTEN_MEANWHILE },
-    a_repeated_start_meets_a_forgotten_job = { 2, FORGOTTEN_SINCE },
+    a_start_evicts_its_own_job = { 2, EVICTED_BY_OWN_START },
+    a_repeated_start_meets_an_evicted_job = { 2, EVICTED_BEFORE_REPEAT },
 )]
 fn no_task_begins_again_where(agents: usize, steps: &[Step]) {
-    let mut world = sim::World::new(agents, sim::TIGHT);
+    let mut world = sim::World::new(agents, sim::SMALL_MEMORY);
     for step in steps {
         world.step(*step);
     }
-    assert_eq!(world.truth.violation, None);
+    assert_eq!(world.oracle.violation, None);
 }
 
-// A second entry gathers and is told that a task runs. The agent finds that it could not
-// reach the worker and says so before the gather is whole: the task stood as running for ever.
-const REVERTED_EARLY: &[Step] = &[
+// A second entry gathers and learns that a task runs. The agent then fails to reach the worker
+// and says so before the gather is complete: the task counted as running forever.
+const REVERTED_DURING_GATHER: &[Step] = &[
     Issue,
     Issue,
     Submit(199, 20),
@@ -300,21 +306,21 @@
 ];
 
 #[yare::parameterized(
-    a_task_turns_out_unbegun_during_a_gather = { 4, REVERTED_EARLY },
-    a_used_id_meets_its_first_owner_at_a_new_keeper = { 5, CROSSED },
-    a_refusal_meets_the_fences_of_a_dead_owner = { 3, FENCED_BY_THE_DEAD },
+    a_begun_task_is_reverted_during_a_gather = { 4, REVERTED_DURING_GATHER },
+    a_used_id_meets_its_first_owner_at_a_new_keeper = { 5, CLAIMS_MIXED_UP },
+    a_refusal_meets_the_fences_of_a_dead_owner = { 3, FENCED_BY_DEAD_OWNER },
     a_grant_arrives_after_the_next_view = { 3, GRANTED_LATE },
     a_claim_that_was_not_granted_is_refused = { 5, CLOSED_UNGATHERED },
     a_view_shrinks_below_three_before_a_refusal = { 3, SHRUNK_AND_REFUSED },
     a_view_shrinks_below_three_after_a_refusal = { 3, SHRUNK_AND_BEGUN },
 )]
-fn the_promises_hold_where(agents: usize, steps: &[Step]) {
-    let mut world = sim::World::new(agents, sim::AMPLE);
+fn the_guarantees_hold_where(agents: usize, steps: &[Step]) {
+    let mut world = sim::World::new(agents, sim::LARGE_MEMORY);
     for step in steps {
         world.step(*step);
-        assert_eq!(world.truth.violation, None);
+        assert_eq!(world.oracle.violation, None);
     }
     let waiting = world.heal();
-    assert_eq!(world.truth.violation, None);
+    assert_eq!(world.oracle.violation, None);
     assert!(waiting.is_empty(), "{waiting:?}");
 }
--- a/crates/cassiarock-claim/tests/sim/agent.rs
+++ b/crates/cassiarock-claim/tests/sim/agent.rs
@@ -1,6 +1,6 @@
-//! An agent: ledger, keeper, queue and worker.
+//! A simulated agent: its ledger, keeper, queue and running tasks.
 
-use super::{Body, KEPT, Message, Version, clock};
+use super::{Body, Message, RETENTION, Version, clock};
 use crate::claim::keeper::Keeper;
 use crate::claim::ledger::{CancelDecision, Ledger, StartDecision};
 use crate::claim::message::{Cancel, Fence, Outcome, Reject, Start};
@@ -10,73 +10,76 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Queue places; few, so that agents are full now and then.
-const QUEUE: usize = 2;
+/// Places in an agent's queue; few, so that agents are sometimes full.
+const QUEUE_CAPACITY: usize = 2;
 
 #[derive(Debug)]
 pub struct Agent {
     pub me: Process,
     pub ledger: Ledger,
     pub keeper: Keeper,
-    /// Index of the version it holds, and when it adopted it.
-    pub held: usize,
-    pub adopted: u64,
+    /// The index in the log of the version that it holds.
+    pub version_index: usize,
+    /// When it adopted that version.
+    pub adopted_at: u64,
     pub skew: u64,
-    /// Tasks, each with the hash of its submission.
+    /// Waiting tasks, each with the hash of its submission.
     pub queue: Vec<(Job, Task, u64)>,
+    /// Running tasks, each with the hash of its submission.
     pub running: Vec<(Job, Task, u64)>,
     pub paused: bool,
     pub leaving: bool,
-    /// The successors that have not confirmed the hand-over, and the version it is for.
-    pub handing: Option<(usize, BTreeSet<Process>)>,
-    /// Members that leave themselves.
-    unable: BTreeSet<Process>,
+    /// The index of the version that a hand-over is for, and the successors that have not
+    /// confirmed it.
+    pub handover: Option<(usize, BTreeSet<Process>)>,
+    /// Members that refused a hand-over because they are leaving themselves.
+    refusing: BTreeSet<Process>,
 }
 
 impl Agent {
-    /// With `bytes` of memory for its ledger.
+    /// An agent with `memory_bytes` bytes each for its ledger and its keeper.
     pub fn new(
         me: Process,
-        held: usize,
+        version_index: usize,
         log: &[Version],
         time: u64,
         skew: u64,
-        bytes: usize,
+        memory_bytes: usize,
     ) -> Self {
-        let mut ledger = Ledger::new(me.clone(), RetentionLimit::new(KEPT, bytes));
-        ledger.set_view(log[held].view.version);
+        let mut ledger = Ledger::new(me.clone(), RetentionLimit::new(RETENTION, memory_bytes));
+        ledger.set_view(log[version_index].view.version);
         Self {
-            keeper: Keeper::new(me.clone(), RetentionLimit::new(KEPT, bytes)),
+            keeper: Keeper::new(me.clone(), RetentionLimit::new(RETENTION, memory_bytes)),
             me,
             ledger,
-            held,
-            adopted: time,
+            version_index,
+            adopted_at: time,
             skew,
             queue: Vec::new(),
             running: Vec::new(),
             paused: false,
             leaving: false,
-            handing: None,
-            unable: BTreeSet::new(),
+            handover: None,
+            refusing: BTreeSet::new(),
         }
     }
 
     pub fn read(&mut self, log: &[Version], time: u64) {
-        if self.held + 1 < log.len() {
-            self.held += 1;
-            self.adopted = time;
-            self.unable.clear();
-            self.ledger.set_view(log[self.held].view.version);
+        if self.version_index + 1 < log.len() {
+            self.version_index += 1;
+            self.adopted_at = time;
+            self.refusing.clear();
+            self.ledger.set_view(log[self.version_index].view.version);
         }
     }
 
     pub fn handle(&mut self, message: Message, log: &[Version], time: u64) -> Vec<Message> {
         let now = clock(time, self.skew);
         let from = message.from;
-        let view = &log[self.held].view;
+        let view = &log[self.version_index].view;
         let body = match message.body {
             Body::Ping(sent) => {
-                let adopted = Duration::from_millis(time - self.adopted);
+                let adopted = Duration::from_millis(time - self.adopted_at);
                 Body::Pong(view.version, adopted, sent)
             }
             Body::Ask(ask) => {
@@ -92,23 +95,23 @@
                 Some(body) => body,
                 None => return Vec::new(),
             },
-            Body::HandOver(claims, kept, floor) => {
+            Body::HandOver(claims, records, floor) => {
                 let accepted = self.ledger.accepts_handover_from(&from);
                 if accepted {
                     self.keeper.accept_handover(claims);
-                    self.ledger.accept_handover(kept, floor);
-                    self.handing = None;
+                    self.ledger.accept_handover(records, floor);
+                    self.handover = None;
                 }
                 Body::TakenOver(accepted)
             }
             Body::TakenOver(true) => {
-                if let Some((_, missing)) = &mut self.handing {
+                if let Some((_, missing)) = &mut self.handover {
                     missing.remove(&from);
                 }
                 return Vec::new();
             }
             Body::TakenOver(false) => {
-                self.unable.insert(from);
+                self.refusing.insert(from);
                 return Vec::new();
             }
             _ => return Vec::new(),
@@ -116,7 +119,7 @@
         vec![self.message(from, body)]
     }
 
-    /// Takes a task from the queue; true if it begins.
+    /// Removes a task from the queue, and returns it if it begins.
     pub fn begin(&mut self, at: usize) -> Option<(Job, Task, u64)> {
         let (job, task, digest) = self.queue.remove(at);
         if !self.ledger.begin(job, task) {
@@ -129,53 +132,57 @@
     pub fn end(&mut self, at: usize, outcome: impl Fn(Job, Task, u64) -> Outcome) -> Vec<Message> {
         let (job, task, digest) = self.running.remove(at);
         let outcome = outcome(job, task, digest);
-        let told = self.ledger.end(job, task, outcome.clone());
+        let notified = self.ledger.end(job, task, outcome.clone());
         let ended = |ballot: Ballot| {
             let entry = ballot.entry.clone();
             self.message(entry, Body::Ended(job, ballot, task, outcome.clone()))
         };
-        told.into_iter().map(ended).collect()
+        notified.into_iter().map(ended).collect()
     }
 
     pub fn revert(&mut self, at: usize) -> (Job, Task, Vec<Message>) {
         let (job, task, _) = self.running.remove(at);
-        let told = self.ledger.revert_begin(job, task).into_iter();
+        let notified = self.ledger.revert_begin(job, task).into_iter();
         let full = Reject::Full;
         let rejected = |(ballot, placement): (Ballot, u32)| {
             let entry = ballot.entry.clone();
             let body = Body::Rejected(job, ballot, task, placement, full.clone());
             self.message(entry, body)
         };
-        (job, task, told.map(rejected).collect())
+        (job, task, notified.map(rejected).collect())
     }
 
-    /// Sends out what it holds for the version that it holds.
+    /// Sends its records and claims to their successors under the version that it holds.
     pub fn hand_over(&mut self, log: &[Version]) -> Vec<Message> {
-        let view = &log[self.held].view;
+        let view = &log[self.version_index].view;
         let rest = view.without(&self.me);
-        let able = rest.members.iter().filter(|m| !self.unable.contains(m));
-        let able = View::new(view.version, able.cloned());
-        // One copy is enough only where the remaining members exempt no keeper.
+        let accepting = rest.members.iter().filter(|m| !self.refusing.contains(m));
+        let accepting = View::new(view.version, accepting.cloned());
+        // One copy is enough only if the remaining members are too few for an exempt keeper.
         let copies = if rest.members.len() >= 3 { 2 } else { 1 };
-        if able.members.len() < copies {
+        if accepting.members.len() < copies {
             return Vec::new();
         }
-        let view = &able;
+        let view = &accepting;
         let mut claims = self.keeper.hand_over(view);
-        let mut kept = self.ledger.hand_over(view);
+        let mut records = self.ledger.hand_over(view);
         let to: BTreeSet<_> = claims.iter().map(|(to, _)| to.clone()).collect();
-        let to: BTreeSet<_> = kept.iter().map(|(to, _)| to.clone()).chain(to).collect();
+        let to: BTreeSet<_> = records.iter().map(|(to, _)| to.clone()).chain(to).collect();
         let floor = self.ledger.floor();
         let mut sent = Vec::new();
         for to in &to {
             let claims = claims.iter_mut().find(|(other, _)| other == to);
             let claims = claims.map(|(_, records)| std::mem::take(records));
-            let kept = kept.iter_mut().find(|(other, _)| other == to);
-            let kept = kept.map(|(_, records)| std::mem::take(records));
-            let body = Body::HandOver(claims.unwrap_or_default(), kept.unwrap_or_default(), floor);
+            let records = records.iter_mut().find(|(other, _)| other == to);
+            let records = records.map(|(_, records)| std::mem::take(records));
+            let body = Body::HandOver(
+                claims.unwrap_or_default(),
+                records.unwrap_or_default(),
+                floor,
+            );
             sent.push(self.message(to.clone(), body));
         }
-        self.handing = Some((self.held, to));
+        self.handover = Some((self.version_index, to));
         sent
     }
 
@@ -185,7 +192,7 @@
             Body::Rejected(start.job, ballot, start.task, start.placement, reject)
         };
         match self.ledger.start(start, now) {
-            StartDecision::Run if self.queue.len() >= QUEUE => {
+            StartDecision::Run if self.queue.len() >= QUEUE_CAPACITY => {
                 self.ledger.withdraw_start(start);
                 Some(rejected(Reject::Full))
             }
@@ -227,10 +234,10 @@
     fn fence(&mut self, fence: &Fence, now: Wall) -> Body {
         match self.ledger.fence(fence, now) {
             Ok(fenced) => {
-                let gone = |task: &Task| fenced.withdrawn.contains(task);
+                let is_withdrawn = |task: &Task| fenced.withdrawn.contains(task);
                 let job = fence.job;
                 self.queue
-                    .retain(|(other, task, _)| *other != job || !gone(task));
+                    .retain(|(other, task, _)| *other != job || !is_withdrawn(task));
                 Body::Report(fenced.report)
             }
             Err(reject) => Body::Unfenced(fence.job, fence.ballot.clone(), reject),
--- a/crates/cassiarock-claim/tests/sim/entry.rs
+++ b/crates/cassiarock-claim/tests/sim/entry.rs
@@ -1,7 +1,7 @@
-//! An entry: its view of the membership and an owner per job.
+//! A simulated entry: its membership history and one owner per job.
 
-use super::truth::Truth;
-use super::{Body, KEPT, LEASE, MARGIN, Message, TASKS, Version, clock};
+use super::oracle::Oracle;
+use super::{Body, LEASE, MARGIN, Message, RETENTION, TASKS_PER_JOB, Version, clock};
 use crate::claim::Ballot;
 use crate::claim::owner::{Action, Event, JobOutcome, Owner};
 use crate::claim::view::{Timing, ViewHistory};
@@ -10,37 +10,37 @@
 use std::time::Duration;
 
 /// How long a start is valid.
-const START: Duration = Duration::from_secs(5);
+const START_VALIDITY: Duration = Duration::from_secs(5);
 
-/// A job at an entry.
+/// A job that an entry holds.
 #[derive(Debug)]
-pub struct Held {
+pub struct HeldJob {
     pub owner: Owner,
     digest: u64,
     submissions: Vec<u32>,
     waiters: Vec<Process>,
-    end: Option<JobOutcome>,
+    outcome: Option<JobOutcome>,
 }
 
 #[derive(Debug)]
 pub struct Entry {
     pub me: Process,
     pub views: ViewHistory,
-    /// How many versions it has read.
-    pub held: usize,
+    /// The number of versions that it has read from the log.
+    pub versions_read: usize,
     pub skew: u64,
     pub paused: bool,
-    pub jobs: BTreeMap<Job, Held>,
+    pub jobs: BTreeMap<Job, HeldJob>,
     serial: u64,
 }
 
 impl Entry {
     pub fn new(me: Process, skew: u64) -> Self {
-        let timing = Timing::new(LEASE, MARGIN, KEPT);
+        let timing = Timing::new(LEASE, MARGIN, RETENTION);
         Self {
             me,
             views: ViewHistory::new(timing, Wall::from_millis(0)),
-            held: 0,
+            versions_read: 0,
             skew,
             paused: false,
             jobs: BTreeMap::new(),
@@ -48,16 +48,16 @@
         }
     }
 
-    pub fn read(&mut self, log: &[Version], time: u64, truth: &mut Truth) -> Vec<Message> {
-        let Some(version) = log.get(self.held) else {
+    pub fn read(&mut self, log: &[Version], time: u64, oracle: &mut Oracle) -> Vec<Message> {
+        let Some(version) = log.get(self.versions_read) else {
             return Vec::new();
         };
-        self.held += 1;
+        self.versions_read += 1;
         if let Some(retired) = version.retired.clone() {
             self.views.record_retirement(retired, version.view.version);
         }
         self.views.adopt(version.view.clone());
-        self.all(&Event::ViewChanged, time, truth)
+        self.step_all_owners(&Event::ViewChanged, time, oracle)
     }
 
     pub fn submit(
@@ -67,38 +67,38 @@
         submission: u32,
         admitted: bool,
         time: u64,
-        truth: &mut Truth,
+        oracle: &mut Oracle,
     ) -> Vec<Message> {
         if let Some(held) = self.jobs.get_mut(&job) {
-            match &held.end {
+            match &held.outcome {
                 _ if held.digest != digest => {
-                    truth.answer(submission, job, digest, &JobOutcome::Mismatch);
+                    oracle.answer(submission, job, digest, &JobOutcome::Mismatch);
                 }
-                Some(end) => truth.answer(submission, job, digest, end),
+                Some(outcome) => oracle.answer(submission, job, digest, outcome),
                 None => held.submissions.push(submission),
             }
             return Vec::new();
         }
         self.serial += 1;
         let ballot = Ballot::new(Ballot::FRESH, self.me.clone()).with_serial(self.serial);
-        let held = Held {
-            owner: Owner::new(job, digest, TASKS, ballot),
+        let held = HeldJob {
+            owner: Owner::new(job, digest, TASKS_PER_JOB, ballot),
             digest,
             submissions: vec![submission],
             waiters: Vec::new(),
-            end: None,
+            outcome: None,
         };
         self.jobs.insert(job, held);
         if !admitted {
-            self.event(job, Event::Cancelled, time, truth);
+            self.step_owner(job, Event::Cancelled, time, oracle);
         }
-        self.event(job, Event::Submitted, time, truth)
+        self.step_owner(job, Event::Submitted, time, oracle)
     }
 
     /// Places all startable tasks, each at one of `agents`.
     pub fn place(&mut self, agents: &[Process], choice: usize, time: u64) -> Vec<Message> {
         let mut sent = Vec::new();
-        let start_by = clock(time, self.skew).plus(START);
+        let start_by = clock(time, self.skew).plus(START_VALIDITY);
         for held in self.jobs.values_mut() {
             let tasks: Vec<_> = held.owner.startable_tasks().collect();
             for task in tasks {
@@ -112,19 +112,34 @@
         sent
     }
 
-    /// Tells all owners.
-    pub fn all(&mut self, event: &Event, time: u64, truth: &mut Truth) -> Vec<Message> {
+    /// Passes an event to all owners.
+    pub fn step_all_owners(
+        &mut self,
+        event: &Event,
+        time: u64,
+        oracle: &mut Oracle,
+    ) -> Vec<Message> {
         let jobs: Vec<_> = self.jobs.keys().copied().collect();
-        let tell = |job| self.event(job, event.clone(), time, truth);
-        jobs.into_iter().flat_map(tell).collect()
+        let step = |job| self.step_owner(job, event.clone(), time, oracle);
+        jobs.into_iter().flat_map(step).collect()
     }
 
-    pub fn event(&mut self, job: Job, event: Event, time: u64, truth: &mut Truth) -> Vec<Message> {
+    pub fn step_owner(
+        &mut self,
+        job: Job,
+        event: Event,
+        time: u64,
+        oracle: &mut Oracle,
+    ) -> Vec<Message> {
         let now = clock(time, self.skew);
         let mut sent = Vec::new();
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
-            let Some(held) = self.jobs.get_mut(&job).filter(|held| held.end.is_none()) else {
+            let Some(held) = self
+                .jobs
+                .get_mut(&job)
+                .filter(|held| held.outcome.is_none())
+            else {
                 break;
             };
             for action in held.owner.step(event, &self.views, now) {
@@ -142,9 +157,9 @@
                     Action::Attach(owner) => {
                         sent.push((owner.entry.clone(), Body::Attach(job, owner)));
                     }
-                    Action::Finish(end) => {
-                        let whole = held.finish(job, end, truth);
-                        sent.extend(whole);
+                    Action::Finish(outcome) => {
+                        let results = held.finish(job, outcome, oracle);
+                        sent.extend(results);
                     }
                 }
             }
@@ -155,7 +170,7 @@
             .collect()
     }
 
-    pub fn handle(&mut self, message: Message, time: u64, truth: &mut Truth) -> Vec<Message> {
+    pub fn handle(&mut self, message: Message, time: u64, oracle: &mut Oracle) -> Vec<Message> {
         let now = clock(time, self.skew);
         let agent = message.from;
         let (job, event) = match message.body {
@@ -195,18 +210,21 @@
                 };
                 (job, event)
             }
-            Body::Attach(job, ballot) => return self.attached(agent, job, &ballot),
-            Body::Whole(job, None) => (job, Event::OwnerLost),
-            Body::Whole(job, Some(end)) => return self.whole(job, end, truth),
+            Body::Attach(job, ballot) => return self.handle_attach(agent, job, &ballot),
+            Body::FinalResult(job, None) => (job, Event::OwnerLost),
+            Body::FinalResult(job, Some(outcome)) => {
+                return self.handle_final_result(job, outcome, oracle);
+            }
             _ => return Vec::new(),
         };
-        self.event(job, event, time, truth)
+        self.step_owner(job, event, time, oracle)
     }
 
-    /// Asks the owners attached to for their answers again, or replaces those gone.
-    pub fn reattach(&mut self, alive: &[Process], time: u64, truth: &mut Truth) -> Vec<Message> {
-        let attached = |(job, held): (&Job, &Held)| {
-            let owner = held.owner.attached_to().filter(|_| held.end.is_none());
+    /// Attaches again to the owners that jobs wait for, or replaces them if their entry has
+    /// ended.
+    pub fn reattach(&mut self, alive: &[Process], time: u64, oracle: &mut Oracle) -> Vec<Message> {
+        let attached = |(job, held): (&Job, &HeldJob)| {
+            let owner = held.owner.attached_to().filter(|_| held.outcome.is_none());
             Some((*job, owner?.clone()))
         };
         let attached: Vec<_> = self.jobs.iter().filter_map(attached).collect();
@@ -216,7 +234,7 @@
                 let body = Body::Attach(job, owner.clone());
                 sent.push(message(&self.me, owner.entry, body));
             } else {
-                sent.extend(self.event(job, Event::OwnerLost, time, truth));
+                sent.extend(self.step_owner(job, Event::OwnerLost, time, oracle));
             }
         }
         sent
@@ -228,45 +246,63 @@
         held.flat_map(|held| held.submissions.iter().copied())
     }
 
-    /// Forgets a job that has its answer.
+    /// Removes a job that has been answered.
     pub fn forget(&mut self, job: Job) {
-        if self.jobs.get(&job).is_some_and(|held| held.end.is_some()) {
+        if self
+            .jobs
+            .get(&job)
+            .is_some_and(|held| held.outcome.is_some())
+        {
             self.jobs.remove(&job);
         }
     }
 
-    fn attached(&mut self, waiter: Process, job: Job, ballot: &Ballot) -> Vec<Message> {
-        let end = match self.jobs.get_mut(&job) {
-            Some(held) if held.end.is_none() && held.owner.holds(ballot) => {
+    fn handle_attach(&mut self, waiter: Process, job: Job, ballot: &Ballot) -> Vec<Message> {
+        let outcome = match self.jobs.get_mut(&job) {
+            Some(held) if held.outcome.is_none() && held.owner.holds(ballot) => {
                 held.waiters.push(waiter);
                 return Vec::new();
             }
-            Some(held) => held.end.clone(),
+            Some(held) => held.outcome.clone(),
             None => None,
         };
-        vec![message(&self.me, waiter, Body::Whole(job, end))]
+        vec![message(&self.me, waiter, Body::FinalResult(job, outcome))]
     }
 
-    fn whole(&mut self, job: Job, end: JobOutcome, truth: &mut Truth) -> Vec<Message> {
-        let Some(held) = self.jobs.get_mut(&job).filter(|held| held.end.is_none()) else {
+    fn handle_final_result(
+        &mut self,
+        job: Job,
+        outcome: JobOutcome,
+        oracle: &mut Oracle,
+    ) -> Vec<Message> {
+        let Some(held) = self
+            .jobs
+            .get_mut(&job)
+            .filter(|held| held.outcome.is_none())
+        else {
             return Vec::new();
         };
-        let sent = held.finish(job, end, truth);
+        let sent = held.finish(job, outcome, oracle);
         let to = |(to, body)| message(&self.me, to, body);
         sent.into_iter().map(to).collect()
     }
 }
 
-impl Held {
-    fn finish(&mut self, job: Job, end: JobOutcome, truth: &mut Truth) -> Vec<(Process, Body)> {
+impl HeldJob {
+    fn finish(
+        &mut self,
+        job: Job,
+        outcome: JobOutcome,
+        oracle: &mut Oracle,
+    ) -> Vec<(Process, Body)> {
         let gathered = self.owner.ballot().round > Ballot::FRESH;
-        truth.gathered += usize::from(gathered && matches!(end, JobOutcome::Complete(_)));
+        oracle.gathered += usize::from(gathered && matches!(outcome, JobOutcome::Complete(_)));
         for submission in self.submissions.drain(..) {
-            truth.answer(submission, job, self.digest, &end);
+            oracle.answer(submission, job, self.digest, &outcome);
         }
-        self.end = Some(end.clone());
-        let whole = |waiter| (waiter, Body::Whole(job, Some(end.clone())));
-        self.waiters.drain(..).map(whole).collect()
+        self.outcome = Some(outcome.clone());
+        let result = |waiter| (waiter, Body::FinalResult(job, Some(outcome.clone())));
+        self.waiters.drain(..).map(result).collect()
     }
 }
 
--- a/crates/cassiarock-claim/tests/sim/membership.rs
+++ b/crates/cassiarock-claim/tests/sim/membership.rs
@@ -1,9 +1,9 @@
-//! Processes that end, come, leave and are removed.
+//! Crashes, restarts, joins, departures and removals of processes.
 
 use super::agent::Agent;
 use super::entry::Entry;
-use super::world::{World, active_agent, index};
-use super::{SKEW, Version};
+use super::world::{World, active_agent, pick};
+use super::{MAX_SKEW_MS, Version};
 use crate::claim::owner::Event;
 use crate::claim::view::View;
 use cassiarock_id::Process;
@@ -25,61 +25,61 @@
             let gone = self.agents.remove(at).me;
             self.lost_agents = true;
             for e in 0..3 {
-                self.all(e, &Event::AgentUnreachable(gone.clone()));
+                self.step_all_owners(e, &Event::AgentUnreachable(gone.clone()));
             }
         }
     }
 
     /// Crashes an agent and starts it again under the same name.
     pub(super) fn restart(&mut self, a: u8) {
-        if let Some(old) = index(&self.agents, a).map(|agent| agent.me.clone()) {
+        if let Some(old) = pick(&self.agents, a).map(|agent| agent.me.clone()) {
             self.crash_agent(a);
             let me = Process::new(old.name.clone(), old.incarnation + 1);
             let view = self.view().without(&old);
-            self.enter(me, &view);
+            self.add_agent(me, &view);
         }
     }
 
     pub(super) fn join(&mut self) {
         if self.agents.len() < 6 {
-            self.next += 1;
-            let me = Process::new(format!("agent-{}", 10 + self.next), 1);
+            self.join_counter += 1;
+            let me = Process::new(format!("agent-{}", 10 + self.join_counter), 1);
             let view = self.view();
-            self.enter(me, &view);
+            self.add_agent(me, &view);
         }
     }
 
-    pub(super) fn enter(&mut self, me: Process, view: &View) {
+    pub(super) fn add_agent(&mut self, me: Process, view: &View) {
         let members = view.members.iter().cloned().chain([me.clone()]);
         self.append(members.collect(), None);
-        let held = self.log.len() - 1;
+        let version_index = self.log.len() - 1;
         let agent = Agent::new(
             me,
-            held,
+            version_index,
             &self.log,
             self.time,
-            self.time % (2 * SKEW),
-            self.bytes,
+            self.time % (2 * MAX_SKEW_MS),
+            self.memory_bytes,
         );
         self.agents.push(agent);
     }
 
-    /// Takes an agent off the membership without its consent.
+    /// Removes an agent from the membership without its involvement.
     pub(super) fn remove(&mut self, a: u8) {
         let view = self.view();
-        // One that stays must be left, or nothing could run.
-        let staying = |member: &Process| {
+        // At least one agent that is not leaving must remain, or nothing could run.
+        let is_staying = |member: &Process| {
             let agent = self.agents.iter().find(|agent| agent.me == *member);
             agent.is_some_and(|agent| !agent.leaving)
         };
-        if view.members.iter().filter(|m| staying(m)).count() > 1 {
+        if view.members.iter().filter(|m| is_staying(m)).count() > 1 {
             let member = &view.members[usize::from(a) % view.members.len()];
             let rest = view.without(member).members.to_vec();
             self.append(rest, None);
         }
     }
 
-    /// Moves an agent's planned leave on by one stage.
+    /// Advances an agent's planned departure by one stage.
     pub(super) fn leave(&mut self, a: u8) {
         let last = self.log.len() - 1;
         let view = self.view();
@@ -101,9 +101,9 @@
         if !agent.queue.is_empty() || !agent.running.is_empty() {
             return;
         }
-        match &agent.handing {
+        match &agent.handover {
             // The announcement must directly follow the version of the hand-over.
-            Some((held, missing)) if missing.is_empty() && *held == last => {
+            Some((version_index, missing)) if missing.is_empty() && *version_index == last => {
                 let me = agent.me.clone();
                 self.agents.retain(|agent| agent.me != me);
                 let rest = view.without(&me).members.to_vec();
@@ -111,7 +111,7 @@
             }
             _ => {
                 let sent = agent.hand_over(&self.log);
-                self.net.extend(sent);
+                self.network.extend(sent);
             }
         }
     }
--- a/crates/cassiarock-claim/tests/sim/mod.rs
+++ b/crates/cassiarock-claim/tests/sim/mod.rs
@@ -1,13 +1,13 @@
-//! Entries, agents and keepers on a network that loses, doubles, delays and reorders, and
-//! a check of the promises after every step.
+//! A simulation of entries and agents on a network that loses, duplicates, delays and
+//! reorders messages, with a check of the protocol's guarantees after every step.
 
 mod agent;
 mod entry;
 mod heal;
 mod membership;
 mod net;
+mod oracle;
 mod step;
-mod truth;
 mod world;
 
 use crate::claim::Ballot;
@@ -20,27 +20,28 @@
 use cassiarock_id::{Job, Process, Task, Wall};
 use std::time::Duration;
 
+pub use oracle::Oracle;
 pub use step::{Step, search};
-pub use truth::Truth;
 pub use world::World;
 
 pub const LEASE: Duration = Duration::from_secs(2);
 pub const MARGIN: Duration = Duration::from_millis(200);
-pub const KEPT: Duration = Duration::from_secs(60);
-/// Clocks differ from true time by at most this.
-pub const SKEW: u64 = 50;
-/// Tasks per job: few, so that steps meet.
-pub const TASKS: u16 = 2;
+pub const RETENTION: Duration = Duration::from_secs(60);
+/// Clocks differ from true time by at most this many milliseconds.
+pub const MAX_SKEW_MS: u64 = 50;
+/// Tasks per job; few, so that steps often concern the same task.
+pub const TASKS_PER_JOB: u16 = 2;
 
-/// Memory for about two jobs, so that jobs are forgotten; and for all of them.
-pub const TIGHT: usize = 1_200;
-pub const AMPLE: usize = 1 << 20;
+/// Bytes for about two jobs, so that jobs are evicted.
+pub const SMALL_MEMORY: usize = 1_200;
+/// Bytes for all jobs.
+pub const LARGE_MEMORY: usize = 1 << 20;
 
 /// One version of the membership, as the log holds it.
 #[derive(Clone, Debug)]
 pub struct Version {
     pub view: View,
-    /// The member that announced its own end by this version.
+    /// The member that announced its own departure in this version.
     pub retired: Option<Process>,
 }
 
@@ -67,10 +68,10 @@
     HandOver(Vec<ClaimRecord>, Vec<LedgerRecord>, Wall),
     TakenOver(bool),
     Attach(Job, Ballot),
-    Whole(Job, Option<JobOutcome>),
+    FinalResult(Job, Option<JobOutcome>),
 }
 
-/// A process's clock: true time, off by its skew.
+/// The clock of a process, which differs from true time by `skew` less [`MAX_SKEW_MS`].
 pub fn clock(time: u64, skew: u64) -> Wall {
-    Wall::from_millis(time - SKEW + skew)
+    Wall::from_millis(time - MAX_SKEW_MS + skew)
 }
--- a/crates/cassiarock-claim/tests/sim/truth.rs
+++ b/crates/cassiarock-claim/tests/sim/oracle.rs
@@ -1,58 +1,58 @@
-//! What really happened, and the promises.
+//! What really happened in a run, and the check of the protocol's guarantees against it.
 
-use super::TASKS;
+use super::TASKS_PER_JOB;
 use crate::claim::message::Outcome;
 use crate::claim::owner::{FailureReason, JobOutcome};
 use cassiarock_id::{Job, Process, Task};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug, Default)]
-pub struct Truth {
+pub struct Oracle {
     begun: BTreeMap<(Job, Task), Process>,
     pub refused: BTreeSet<Job>,
-    /// Tasks told as not run of jobs that were cancelled after others had run.
-    unrun: BTreeSet<(Job, Task)>,
+    /// Tasks reported as not run, of jobs that were cancelled after other tasks had run.
+    reported_unrun: BTreeSet<(Job, Task)>,
     pub refusals: usize,
     answered: BTreeSet<u32>,
     pub complete: usize,
-    /// Complete answers of owners that had gathered.
+    /// The number of complete answers by owners that had gathered.
     pub gathered: usize,
     pub mismatches: usize,
     pub failed: BTreeMap<String, usize>,
-    /// The first broken promise.
+    /// The first violation of a guarantee.
     pub violation: Option<String>,
 }
 
-impl Truth {
+impl Oracle {
     pub fn begin(&mut self, job: Job, task: Task, agent: &Process) {
         if let Some(first) = self.begun.insert((job, task), agent.clone()) {
-            self.broken(format!("{job}/{task} began at {first} and at {agent}"));
+            self.violate(format!("{job}/{task} began at {first} and at {agent}"));
         }
-        if self.unrun.contains(&(job, task)) {
-            self.broken(format!(
-                "{job}/{task} was told as not run and began at {agent}"
+        if self.reported_unrun.contains(&(job, task)) {
+            self.violate(format!(
+                "{job}/{task} was reported as not run and began at {agent}"
             ));
         }
         if self.refused.contains(&job) {
-            self.broken(format!("{job} was refused and began at {agent}"));
+            self.violate(format!("{job} was refused and began at {agent}"));
         }
     }
 
-    /// The begin did not reach the worker.
+    /// Records that a begun task did not reach the worker after all.
     pub fn revert(&mut self, job: Job, task: Task) {
         self.begun.remove(&(job, task));
     }
 
-    /// The one right outcome of a task.
+    /// The only correct outcome of a task.
     pub fn outcome(job: Job, task: Task, digest: u64) -> Outcome {
         Outcome::Done(format!("{job}/{task}/{digest}").into_bytes())
     }
 
-    pub fn answer(&mut self, submission: u32, job: Job, digest: u64, end: &JobOutcome) {
+    pub fn answer(&mut self, submission: u32, job: Job, digest: u64, outcome: &JobOutcome) {
         if !self.answered.insert(submission) {
-            self.broken(format!("submission {submission} got two answers"));
+            self.violate(format!("submission {submission} got two answers"));
         }
-        match end {
+        match outcome {
             JobOutcome::Complete(outcomes) => self.complete(job, digest, outcomes),
             JobOutcome::Refused => self.refused(job),
             JobOutcome::Failed { reason, outcomes } => {
@@ -67,34 +67,37 @@
 
     fn complete(&mut self, job: Job, digest: u64, outcomes: &[Outcome]) {
         self.complete += 1;
-        let right = (0..TASKS).map(|task| Self::outcome(job, Task(task), digest));
-        if !right.eq(outcomes.iter().cloned()) {
-            self.broken(format!("{job} got the answer {outcomes:?}"));
+        let expected = (0..TASKS_PER_JOB).map(|task| Self::outcome(job, Task(task), digest));
+        if !expected.eq(outcomes.iter().cloned()) {
+            self.violate(format!("{job} got the answer {outcomes:?}"));
         }
-        if (0..TASKS).any(|task| !self.begun.contains_key(&(job, Task(task)))) {
-            self.broken(format!("{job} is complete and was not run"));
+        if (0..TASKS_PER_JOB).any(|task| !self.begun.contains_key(&(job, Task(task)))) {
+            self.violate(format!("{job} is complete and was not run"));
         }
     }
 
     fn cancelled(&mut self, job: Job, outcomes: &[Option<Outcome>]) {
-        let unrun = (0..TASKS).map(Task).zip(outcomes);
+        let unrun = (0..TASKS_PER_JOB).map(Task).zip(outcomes);
         let unrun = unrun.filter(|(_, outcome)| outcome.is_none());
         for key in unrun.map(|(task, _)| (job, task)).collect::<Vec<_>>() {
             if self.begun.contains_key(&key) {
-                self.broken(format!("{job}/{} had begun and was told as not run", key.1));
+                self.violate(format!(
+                    "{job}/{} had begun and was reported as not run",
+                    key.1
+                ));
             }
-            self.unrun.insert(key);
+            self.reported_unrun.insert(key);
         }
     }
 
     fn refused(&mut self, job: Job) {
         self.refused.insert(job);
         if self.begun.keys().any(|(other, _)| *other == job) {
-            self.broken(format!("{job} had begun and was refused"));
+            self.violate(format!("{job} had begun and was refused"));
         }
     }
 
-    fn broken(&mut self, text: String) {
+    fn violate(&mut self, text: String) {
         self.violation.get_or_insert(text);
     }
 }
--- a/crates/cassiarock-claim/tests/sim/step.rs
+++ b/crates/cassiarock-claim/tests/sim/step.rs
@@ -1,34 +1,36 @@
-//! The steps of a run, and the search for a run that breaks a promise.
+//! The steps of a run, and the search for a run that violates a guarantee.
 
 use super::World;
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestError, TestRng, TestRunner};
 
-/// One step. Numbers pick among what there is, modulo its count.
+/// One step of a run. Each number selects an item of a list, modulo the list's length.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     Issue,
     Submit(u8, u8),
-    /// A submission of other tasks under the same id.
-    Impostor(u8, u8),
+    /// Submits other tasks under the same id.
+    SubmitOtherTasks(u8, u8),
     Refuse(u8, u8),
     Place(u8, u8),
     Deliver(u16),
     Flush(u8),
     Lose(u16),
-    Double(u16),
+    Duplicate(u16),
     Begin(u8, u8),
     End(u8, u8),
-    /// The worker could not be reached: the task has not begun after all.
+    /// The worker could not be reached, so that a begun task has not started after all.
     Revert(u8, u8),
     Tick(u16),
     Read(u8),
     Heartbeat(u8),
-    /// The entry and the agents outside the mask read the log and settle the newest view.
+    /// The entry and the agents outside the mask read the log, and the entry settles the
+    /// newest view.
     Settle(u8, u8),
     Ping(u8, u8),
-    Cut(u8, u8),
+    /// Cuts or restores the link between an entry and an agent.
+    ToggleLink(u8, u8),
     CrashEntry(u8),
     CrashAgent(u8),
     Restart(u8),
@@ -51,13 +53,13 @@
     prop_oneof![
         6 => Just(Step::Issue),
         12 => two().prop_map(|(e, j)| Step::Submit(e, j)),
-        1 => two().prop_map(|(e, j)| Step::Impostor(e, j)),
+        1 => two().prop_map(|(e, j)| Step::SubmitOtherTasks(e, j)),
         2 => two().prop_map(|(e, j)| Step::Refuse(e, j)),
         24 => two().prop_map(|(e, a)| Step::Place(e, a)),
         40 => any::<u16>().prop_map(Step::Deliver),
         30 => (1_u8..8).prop_map(Step::Flush),
         4 => any::<u16>().prop_map(Step::Lose),
-        5 => any::<u16>().prop_map(Step::Double),
+        5 => any::<u16>().prop_map(Step::Duplicate),
         20 => two().prop_map(|(a, n)| Step::Begin(a, n)),
         10 => two().prop_map(|(a, n)| Step::End(a, n)),
         2 => two().prop_map(|(a, n)| Step::Revert(a, n)),
@@ -67,7 +69,7 @@
         8 => any::<u8>().prop_map(Step::Heartbeat),
         4 => two().prop_map(|(e, lagging)| Step::Settle(e, lagging)),
         2 => two().prop_map(|(e, a)| Step::Ping(e, a)),
-        3 => two().prop_map(|(e, a)| Step::Cut(e, a)),
+        3 => two().prop_map(|(e, a)| Step::ToggleLink(e, a)),
         1 => any::<u8>().prop_map(Step::CrashEntry),
         1 => any::<u8>().prop_map(Step::CrashAgent),
         1 => any::<u8>().prop_map(Step::Restart),
@@ -87,12 +89,12 @@
 }
 
 impl Step {
-    /// The kind of fault, as a bit; 0 for a step that is part of normal work.
+    /// The step's kind of fault as a bit; 0 for a step of normal operation.
     const fn fault(self) -> u32 {
         match self {
             Self::Lose(_) => 1,
-            Self::Double(_) => 1 << 1,
-            Self::Cut(..) | Self::KeeperLost(..) => 1 << 2,
+            Self::Duplicate(_) => 1 << 1,
+            Self::ToggleLink(..) | Self::KeeperLost(..) => 1 << 2,
             Self::CrashEntry(_) => 1 << 3,
             Self::CrashAgent(_) => 1 << 4,
             Self::Restart(_) => 1 << 5,
@@ -105,15 +107,15 @@
             Self::Evict(_) => 1 << 12,
             Self::Pause(_) => 1 << 13,
             Self::Forget(..) => 1 << 14,
-            Self::Impostor(..) => 1 << 15,
+            Self::SubmitOtherTasks(..) => 1 << 15,
             Self::Revert(..) => 1 << 16,
             _ => 0,
         }
     }
 }
 
-/// Runs of up to `length` steps over two to five agents. Each run knows only some kinds
-/// of faults: where all of them come at once, most jobs fail before they get far.
+/// Runs of up to `length` steps with two to five agents. Each run allows only some kinds of
+/// faults: with all kinds at once, most jobs fail early.
 fn steps(length: usize) -> impl Strategy<Value = (usize, Vec<Step>)> {
     let run = (
         2_usize..6,
@@ -121,29 +123,30 @@
         any::<u32>(),
         vec(step(), 0..=length),
     );
-    run.prop_map(|(agents, some, few, steps)| {
-        let faults = some & few;
+    run.prop_map(|(agents, mask_a, mask_b, steps)| {
+        // Two masks, so that each kind of fault is allowed in a quarter of the runs.
+        let faults = mask_a & mask_b;
         let allowed = |step: &Step| step.fault() & !faults == 0;
         (agents, steps.into_iter().filter(allowed).collect())
     })
 }
 
-/// Runs per search; the variable asks for a longer one.
-const CASES: &str = "CASSIAROCK_CLAIM_CASES";
-/// The search's seed; the variable asks for another one.
-const SEED: &str = "CASSIAROCK_CLAIM_SEED";
+/// The environment variable that overrides the number of runs per search.
+const CASES_VARIABLE: &str = "CASSIAROCK_CLAIM_CASES";
+/// The environment variable that overrides the search's seed.
+const SEED_VARIABLE: &str = "CASSIAROCK_CLAIM_SEED";
 
-/// Plays runs from a fixed seed; the first broken promise with the shortest run found
-/// that breaks it.
+/// Plays random runs from a fixed seed, and calls `after_run` after each. Returns the first violation, with the shortest run
+/// found that causes it.
 pub fn search(
     cases: u32,
     length: usize,
-    bytes: usize,
-    mut played: impl FnMut(&mut World) -> Result<(), String>,
+    memory_bytes: usize,
+    mut after_run: impl FnMut(&mut World) -> Result<(), String>,
 ) -> Result<(), String> {
-    let given = |name| std::env::var(name).ok()?.parse().ok();
-    let cases = given(CASES).unwrap_or(cases);
-    let seed = given(SEED).unwrap_or(1);
+    let variable = |name| std::env::var(name).ok()?.parse().ok();
+    let cases = variable(CASES_VARIABLE).unwrap_or(cases);
+    let seed = variable(SEED_VARIABLE).unwrap_or(1);
     let config = Config {
         cases,
         failure_persistence: None,
@@ -152,20 +155,20 @@
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed_bytes(seed));
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let played = std::cell::RefCell::new(&mut played);
+    let after_run = std::cell::RefCell::new(&mut after_run);
     let run = |(agents, steps): (usize, Vec<Step>)| {
-        let mut world = World::new(agents, bytes);
+        let mut world = World::new(agents, memory_bytes);
         for step in steps {
             world.step(step);
-            if let Some(broken) = &world.truth.violation {
-                return Err(TestCaseError::fail(broken.clone()));
+            if let Some(violation) = &world.oracle.violation {
+                return Err(TestCaseError::fail(violation.clone()));
             }
         }
-        (played.borrow_mut())(&mut world).map_err(TestCaseError::fail)
+        (after_run.borrow_mut())(&mut world).map_err(TestCaseError::fail)
     };
     match runner.run(&steps(length), run) {
         Ok(()) => Ok(()),
-        Err(TestError::Fail(broken, input)) => Err(format!("{broken} by {input:?}")),
+        Err(TestError::Fail(violation, input)) => Err(format!("{violation} by {input:?}")),
         Err(error) => Err(error.to_string()),
     }
 }
