--- a/crates/cassiarock-claim/src/ledger/lifecycle.rs
+++ b/crates/cassiarock-claim/src/ledger/lifecycle.rs
@@ -48,8 +48,8 @@
 /// assert_eq!(ledger.start(&start, now), StartDecision::Attached);
 /// assert!(ledger.begin(start.job, start.task));
 /// let done = Outcome::Done(b"ok".to_vec());
-/// let told = ledger.end(start.job, start.task, done.clone());
-/// assert_eq!(told, [start.ballot.clone()]);
+/// let notified = ledger.end(start.job, start.task, done.clone());
+/// assert_eq!(notified, [start.ballot.clone()]);
 /// assert_eq!(ledger.start(&start, now), StartDecision::Ended(done));
 /// ```
 #[derive(Debug)]
