--- a/crates/cassiarock-policy/src/place/candidates.rs
+++ b/crates/cassiarock-policy/src/place/candidates.rs
@@ -1,15 +1,15 @@
-//! A set of upstream indices with draws at constant cost.
+//! A set of upstream indices that is sampled at constant cost.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// A set of small integers that can be drawn from evenly. Insert, remove and draw take
+/// A set of small integers with uniform random draws. Insert, remove and draw take
 /// constant time, whatever the number of upstreams.
 #[derive(Debug, Default)]
 pub(super) struct Candidates {
     members: Vec<u32>,
-    /// Place in `members` plus one, by index; 0 if it is not a member.
-    place: Vec<u32>,
+    /// By index: its position in `members` plus one, or 0 if it is not a member.
+    positions: Vec<u32>,
 }
 
 impl Candidates {
@@ -38,27 +38,27 @@
 
     fn insert(&mut self, index: u32) {
         let at = index as usize;
-        if self.place.len() <= at {
-            self.place.resize(at + 1, 0);
+        if self.positions.len() <= at {
+            self.positions.resize(at + 1, 0);
         }
-        if self.place[at] != 0 {
+        if self.positions[at] != 0 {
             return;
         }
         self.members.push(index);
-        self.place[at] = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
+        self.positions[at] = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
     }
 
     fn remove(&mut self, index: u32) {
-        let Some(place) = self.place.get_mut(index as usize) else {
+        let Some(position) = self.positions.get_mut(index as usize) else {
             return;
         };
-        let at = std::mem::take(place);
+        let at = std::mem::take(position);
         if at == 0 {
             return;
         }
         self.members.swap_remove(at as usize - 1);
         if let Some(moved) = self.members.get(at as usize - 1) {
-            self.place[*moved as usize] = at;
+            self.positions[*moved as usize] = at;
         }
     }
 }
--- a/crates/cassiarock-policy/src/place/job.rs
+++ b/crates/cassiarock-policy/src/place/job.rs
@@ -1,10 +1,10 @@
-//! What the placement has to know of a job.
+//! Tasks as placement sees them.
 
 use crate::Due;
 use cassiarock_id::{Job, Process, Task};
 use serde::{Deserialize, Serialize};
 
-/// Names one task of one job.
+/// Identifies one task of one job.
 ///
 /// ```
 /// use cassiarock_id::{Job, Task, Wall};
@@ -14,9 +14,9 @@
 /// ```
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TaskKey {
-    /// The job.
+    /// The job's id.
     pub job: Job,
-    /// Its task.
+    /// The task's index in the job.
     pub task: Task,
 }
 
@@ -38,17 +38,19 @@
 /// ```
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PlacedTask {
-    /// The task.
+    /// Which task it is.
     pub key: TaskKey,
-    /// How late it is when the frame is written, in milliseconds; negative if it is not
-    /// due yet. If it has to wait at the agent, the latest runs first.
+    /// By how many milliseconds the task is overdue when the frame is written; negative
+    /// if it is not due yet. Among tasks that wait at the agent, the most overdue runs
+    /// first.
     pub lateness: i32,
-    /// Whether it may wait at the agent. If not, and no slot is free, it is rejected.
+    /// Whether the task may wait at the agent. If not, and no slot is free, the agent
+    /// rejects it.
     pub may_wait: bool,
 }
 
 impl PlacedTask {
-    /// The task `key`, `lateness` milliseconds late, to run at once or be rejected.
+    /// A task that is `lateness` milliseconds overdue and runs at once or is rejected.
     #[must_use]
     pub const fn new(key: TaskKey, lateness: i32) -> Self {
         Self {
@@ -58,7 +60,7 @@
         }
     }
 
-    /// The same, with leave to wait at the agent.
+    /// Allows the task to wait at the agent.
     #[must_use]
     pub const fn with_wait(mut self) -> Self {
         self.may_wait = true;
@@ -66,7 +68,7 @@
     }
 }
 
-/// Tasks of one job that may be started now.
+/// Tasks of one job that are ready to start.
 ///
 /// ```
 /// use cassiarock_id::{Job, Task, Wall};
@@ -81,16 +83,16 @@
 pub struct ReadyTasks {
     /// The job's id.
     pub id: Job,
-    /// When its tasks are due, by the arrival and the estimated size.
+    /// When the tasks are due, from the job's arrival and its estimated size.
     pub due: Due,
-    /// The tasks, in the order in which they are to start: the longest first.
+    /// The tasks in the order in which they should start: the longest first.
     pub tasks: Vec<Task>,
-    /// An upstream that may run none of them: the keeper of the job's claim.
+    /// An upstream that must not run any of them, such as the keeper of the job's claim.
     pub avoid: Option<Process>,
 }
 
 impl ReadyTasks {
-    /// The tasks `tasks` of the job `id`.
+    /// Tasks that any upstream may run.
     #[must_use]
     pub const fn new(id: Job, due: Due, tasks: Vec<Task>) -> Self {
         Self {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// With an upstream that may run none of the tasks.
+    /// Excludes the upstream of the agent `avoid`.
     #[must_use]
     pub fn with_avoid(mut self, avoid: Process) -> Self {
         self.avoid = Some(avoid);
--- a/crates/cassiarock-policy/src/place/mod.rs
+++ b/crates/cassiarock-policy/src/place/mod.rs
@@ -1,12 +1,12 @@
-//! An entry's waiting tasks and its view of the upstreams: which task starts where.
+//! Placement of an entry's waiting tasks: which task starts at which upstream.
 
 mod candidates;
 mod demand;
 mod job;
 mod placer;
-mod pool;
 mod queue;
 mod settings;
+mod table;
 mod upstream;
 mod view;
 
--- a/crates/cassiarock-policy/src/place/queue.rs
+++ b/crates/cassiarock-policy/src/place/queue.rs
@@ -5,21 +5,27 @@
 use cassiarock_id::{Job, Process, Task};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// The tasks of one job that wait.
+/// How many jobs from the front are searched for small ones.
+const JOBS_COUNTED: usize = 8;
+
+/// The waiting tasks of one job.
 #[derive(Debug)]
-struct Waiting {
+struct WaitingJob {
+    /// The job's key in [`Queue::order`].
     order: (Due, u64),
     tasks: VecDeque<Task>,
     avoid: Option<Process>,
 }
 
-/// Waiting tasks by job, the job due first at the front.
+/// Waiting tasks by job, the job that is due first at the front.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
+    /// Breaks ties between jobs that are due at the same time, by arrival.
     next: u64,
+    /// Waiting tasks of all jobs.
     len: usize,
     order: BTreeMap<(Due, u64), Job>,
-    jobs: HashMap<Job, Waiting>,
+    jobs: HashMap<Job, WaitingJob>,
 }
 
 impl Queue {
@@ -43,7 +49,7 @@
         let order = (job.due, self.next);
         self.next += 1;
         self.order.insert(order, job.id);
-        let waiting = Waiting {
+        let waiting = WaitingJob {
             order,
             tasks: job.tasks.into(),
             avoid: job.avoid,
@@ -51,7 +57,7 @@
         self.jobs.insert(job.id, waiting);
     }
 
-    /// The first `limit` jobs and the upstreams they avoid.
+    /// The first `limit` jobs, when they are due and the agents they avoid.
     pub(super) fn front(&self, limit: usize) -> impl Iterator<Item = (Job, Due, Option<&Process>)> {
         self.order.iter().take(limit).map(|((due, _), id)| {
             let avoid = self.jobs.get(id).and_then(|job| job.avoid.as_ref());
@@ -59,13 +65,19 @@
         })
     }
 
-    pub(super) fn waiting_of(&self, id: Job) -> usize {
+    pub(super) fn waiting_in(&self, id: Job) -> usize {
         self.jobs.get(&id).map_or(0, |job| job.tasks.len())
     }
 
-    pub(super) fn seekers(&self, few: usize) -> usize {
-        let sizes = self.order.values().take(8).map(|id| self.waiting_of(*id));
-        sizes.filter(|size| *size <= few).sum()
+    /// Waiting tasks of those of the first [`JOBS_COUNTED`] jobs that have at most
+    /// `max_tasks` waiting.
+    pub(super) fn waiting_in_small_jobs(&self, max_tasks: usize) -> usize {
+        let sizes = self
+            .order
+            .values()
+            .take(JOBS_COUNTED)
+            .map(|id| self.waiting_in(*id));
+        sizes.filter(|size| *size <= max_tasks).sum()
     }
 
     pub(super) fn pop(&mut self, id: Job) -> Option<(TaskKey, Due, Option<Process>)> {
--- a/crates/cassiarock-policy/src/place/settings.rs
+++ b/crates/cassiarock-policy/src/place/settings.rs
@@ -4,7 +4,7 @@
 use cassiarock_id::Name;
 use std::time::Duration;
 
-/// How a [`super::Placer`] decides.
+/// The settings of a [`super::Placer`].
 ///
 /// ```
 /// use cassiarock_policy::{PlacementPolicy, place::Settings};
@@ -13,45 +13,47 @@
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The policy.
+    /// How tasks are assigned to upstreams.
     pub policy: PlacementPolicy,
-    /// At how many upstreams a task asks for a slot that finds none open. More of them
-    /// find one sooner; each costs a frame, and perhaps a grant that comes too late.
+    /// How many upstreams are asked for a slot on behalf of a task that finds none open.
+    /// With more demands a slot is found sooner, but each costs a frame and may bring a
+    /// grant that comes too late.
     pub demands_per_task: u16,
-    /// A job with at most this many waiting tasks asks for slots rather than wait at one
-    /// upstream, if none is open.
+    /// If no slot is open, the tasks of a job with at most this many waiting tasks demand
+    /// slots rather than wait at one upstream.
     pub small_job_tasks: usize,
-    /// How many tasks may be bound beyond the free slots of one upstream, ahead of the
-    /// slots' becoming free. Tasks that are due later do not count against it.
+    /// How many tasks may be sent to one upstream beyond its free slots, to wait there.
+    /// Tasks that are due later do not count against it.
     pub prefetch: u16,
-    /// How many tasks may be bound to one upstream in all, for the kinds that queue
-    /// there: its slots and its queue.
+    /// How many tasks one upstream may have in all under the policies that queue there:
+    /// its slots and its queue.
     pub max_outstanding: u16,
-    /// How long the load heard from an upstream counts. Older news are as good as none:
-    /// most tasks end within a second, so that the slots have changed hands since.
+    /// The age from which a load report is stale. Most tasks end within a second, so an
+    /// older report says nothing about the slots now.
     pub load_max_age: Duration,
     /// How long to wait for the answer to a demand before it is sent again.
     pub demand_interval: Duration,
-    /// How long a credit is used at most. The agents keep it a little longer, see
+    /// How long a credit may be used. The agents keep it a little longer, see
     /// [`crate::slot::Settings::credit_lifetime`].
     pub credit_lifetime: Duration,
-    /// The entry's own data centre, preferred between equals.
+    /// The entry's own data centre. Between equally loaded upstreams, one in it is
+    /// preferred.
     pub data_centre: Name,
 }
 
 impl Settings {
-    /// The defaults for the policy `kind`.
+    /// The defaults for a policy.
     #[must_use]
-    pub fn new(kind: PlacementPolicy) -> Self {
+    pub fn new(policy: PlacementPolicy) -> Self {
         Self {
-            policy: kind,
+            policy,
             small_job_tasks: 0,
-            demands_per_task: if matches!(kind, PlacementPolicy::Probes) {
+            demands_per_task: if matches!(policy, PlacementPolicy::Probes) {
                 3
             } else {
                 0
             },
-            prefetch: if matches!(kind, PlacementPolicy::Credits) {
+            prefetch: if matches!(policy, PlacementPolicy::Credits) {
                 4
             } else {
                 0
@@ -64,42 +66,42 @@
         }
     }
 
-    /// With the effort that `weight` justifies, for [`PlacementPolicy::Credits`].
+    /// Sets the number of demands by the objective, for [`PlacementPolicy::Credits`] only.
     #[must_use]
-    pub const fn with_objective(mut self, weight: Objective) -> Self {
+    pub const fn with_objective(mut self, objective: Objective) -> Self {
         if !matches!(self.policy, PlacementPolicy::Credits) {
             return self;
         }
-        (self.small_job_tasks, self.demands_per_task) = match weight {
+        (self.small_job_tasks, self.demands_per_task) = match objective {
             Objective::Messages => (0, 0),
             Objective::Response => (20, 3),
         };
         self
     }
 
-    /// Whether tasks are sent to upstreams that said "full" long ago. Needed where no
-    /// task may wait ahead, since news then come only from upstreams that have room.
+    /// Whether tasks are sent to full upstreams whose load report is stale. Needed if no
+    /// task may wait at an upstream, since reports then come only from those with room.
     #[must_use]
     pub(super) const fn tries_stale(&self) -> bool {
         self.policy.queues_at_upstream()
             || (matches!(self.policy, PlacementPolicy::Credits) && self.prefetch == 0)
     }
 
-    /// With another `reach`.
+    /// Sets [`Self::demands_per_task`].
     #[must_use]
-    pub const fn with_demands_per_task(mut self, reach: u16) -> Self {
-        self.demands_per_task = reach;
+    pub const fn with_demands_per_task(mut self, demands: u16) -> Self {
+        self.demands_per_task = demands;
         self
     }
 
-    /// With another `ahead`.
+    /// Sets [`Self::prefetch`].
     #[must_use]
-    pub const fn with_prefetch(mut self, ahead: u16) -> Self {
-        self.prefetch = ahead;
+    pub const fn with_prefetch(mut self, tasks: u16) -> Self {
+        self.prefetch = tasks;
         self
     }
 
-    /// With the entry's data centre.
+    /// Sets [`Self::data_centre`].
     #[must_use]
     pub fn with_data_centre(mut self, data_centre: impl Into<Name>) -> Self {
         self.data_centre = data_centre.into();
--- a/crates/cassiarock-policy/src/place/pool.rs
+++ b/crates/cassiarock-policy/src/place/table.rs
@@ -1,4 +1,4 @@
-//! The upstreams that an entry knows, and the draw of one for a task.
+//! The upstreams that an entry knows, and the choice of one for a task.
 
 use super::candidates::Candidates;
 use super::settings::Settings;
@@ -12,52 +12,55 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How many draws are made for one task before its turn passes. An upstream that may
-/// not run the task is drawn again only if nearly all candidates are such.
-const DRAWS: usize = 6;
+/// Random draws for one task. Only a task that must avoid nearly all candidates needs
+/// more; for it, the candidates with room are then searched in order.
+const MAX_DRAWS: usize = 6;
 
-/// More room than this makes no difference.
-const MOST_ROOM: i64 = 1 << 20;
+/// Cap on the room by which upstreams are ranked, so that ranks fit an `i32`. More room
+/// makes no difference.
+const MAX_ROOM: i64 = 1 << 20;
 
-/// The known upstreams. Those with room are kept in a set of their own, so that a
-/// placement costs the same at thousands of upstreams as at a few.
+/// The known upstreams. Those with room form a set of their own, so that a placement
+/// costs the same with thousands of upstreams as with a few.
 #[derive(Debug)]
-pub(super) struct Pool {
+pub(super) struct UpstreamTable {
     pub(super) settings: Settings,
     pub(super) rng: StdRng,
     views: Vec<Option<View>>,
-    index: HashMap<Process, u32>,
-    vacant: Vec<u32>,
-    /// What [`Self::better`] compares, by index: four bytes per upstream stay in the
-    /// processor's cache where the views do not.
+    indices: HashMap<Process, u32>,
+    free_indices: Vec<u32>,
+    /// What [`Self::better_of`] compares, by index. At four bytes per upstream they stay in
+    /// the processor's cache, which the views do not.
     ranks: Vec<i32>,
+    /// Upstreams that may get tasks.
     usable: Candidates,
-    roomy: Candidates,
-    /// Upstreams whose credits may be unused.
-    credited: Vec<u32>,
+    /// Upstreams that seem to have room for a task.
+    available: Candidates,
+    /// Upstreams that may have unused credits, with duplicates.
+    with_credits: Vec<u32>,
 }
 
-impl Pool {
+impl UpstreamTable {
     pub(super) fn new(settings: Settings, seed: u64) -> Self {
         Self {
             settings,
             rng: StdRng::seed_from_u64(seed),
             views: Vec::new(),
-            index: HashMap::new(),
-            vacant: Vec::new(),
+            indices: HashMap::new(),
+            free_indices: Vec::new(),
             ranks: Vec::new(),
             usable: Candidates::default(),
-            roomy: Candidates::default(),
-            credited: Vec::new(),
+            available: Candidates::default(),
+            with_credits: Vec::new(),
         }
     }
 
     pub(super) fn add(&mut self, upstream: Upstream) {
         self.remove(&upstream.agent);
-        let near = upstream.data_centre == self.settings.data_centre;
+        let is_local = upstream.data_centre == self.settings.data_centre;
         let agent = upstream.agent.clone();
-        let view = Some(View::new(upstream, near));
-        let index = match self.vacant.pop() {
+        let view = Some(View::new(upstream, is_local));
+        let index = match self.free_indices.pop() {
             Some(index) => index,
             None => {
                 self.views.push(None);
@@ -66,25 +69,25 @@
             }
         };
         self.views[index as usize] = view;
-        self.index.insert(agent, index);
+        self.indices.insert(agent, index);
         self.refresh(index);
     }
 
     pub(super) fn remove(&mut self, agent: &Process) {
-        let Some(index) = self.index.remove(agent) else {
+        let Some(index) = self.indices.remove(agent) else {
             return;
         };
         self.views[index as usize] = None;
         self.usable.set(index, false);
-        self.roomy.set(index, false);
-        self.vacant.push(index);
+        self.available.set(index, false);
+        self.free_indices.push(index);
     }
 
     pub(super) fn get(&self, index: u32) -> Option<&View> {
         self.views.get(index as usize)?.as_ref()
     }
 
-    /// All slots, and those that were open by the loads last heard.
+    /// The slots of all upstreams, and those that are open by the last load reports.
     pub(super) fn count_slots(&self) -> (u64, u64) {
         let views = self.views.iter().flatten();
         let counts = views.map(|view| (view.upstream.slots, view.load.open));
@@ -94,10 +97,10 @@
     }
 
     pub(super) fn index(&self, agent: &Process) -> Option<u32> {
-        self.index.get(agent).copied()
+        self.indices.get(agent).copied()
     }
 
-    /// Changes a view and brings the sets in line with it.
+    /// Changes a view and updates its rank and the sets.
     pub(super) fn change<T>(
         &mut self,
         index: u32,
@@ -109,18 +112,24 @@
         Some(result)
     }
 
-    pub(super) fn hear(&mut self, agent: &Process, load: LoadReport, now: Duration) -> Option<u32> {
+    pub(super) fn apply_report(
+        &mut self,
+        agent: &Process,
+        load: LoadReport,
+        now: Duration,
+    ) -> Option<u32> {
         let index = self.index(agent)?;
-        self.change(index, |view| view.hear(load, now));
+        self.change(index, |view| view.apply_report(load, now));
         if load.credit > 0 {
-            self.credited.push(index);
+            self.with_credits.push(index);
         }
         Some(index)
     }
 
-    /// The upstreams that gave credits since the last call and still have some unused.
+    /// Takes the upstreams that granted credits of which some are still unused. Each must
+    /// be kept with [`Self::keep_credited`] as long as its credits are valid.
     pub(super) fn take_credited(&mut self) -> Vec<u32> {
-        let mut credited = std::mem::take(&mut self.credited);
+        let mut credited = std::mem::take(&mut self.with_credits);
         credited.sort_unstable();
         credited.dedup();
         credited.retain(|index| self.get(*index).is_some_and(|view| view.credit > 0));
@@ -128,15 +137,15 @@
     }
 
     pub(super) fn keep_credited(&mut self, index: u32) {
-        self.credited.push(index);
+        self.with_credits.push(index);
     }
 
-    /// Forgets credits that the agents have let expire.
+    /// Drops the credits that are about to expire at the agents.
     pub(super) fn expire_credits(&mut self, now: Duration) {
-        let hold = self.settings.credit_lifetime;
+        let lifetime = self.settings.credit_lifetime;
         for index in self.take_credited() {
             let expired = self.change(index, |view| {
-                let expired = now.saturating_sub(view.credit_at) >= hold;
+                let expired = now.saturating_sub(view.credit_at) >= lifetime;
                 if expired {
                     view.credit = 0;
                 }
@@ -156,30 +165,31 @@
         self.usable.draw(&mut self.rng)
     }
 
-    /// An upstream with room that is not `avoid`.
-    pub(super) fn pick(&mut self, avoid: Option<u32>) -> Option<u32> {
+    /// An upstream other than `avoid` that seems to have room: one drawn at random under
+    /// [`PlacementPolicy::Random`], else the better of two.
+    pub(super) fn pick_available(&mut self, avoid: Option<u32>) -> Option<u32> {
         if self.settings.policy == PlacementPolicy::Random {
-            return self.draw(avoid);
+            return self.draw_available(avoid);
         }
-        let first = self.draw(avoid)?;
-        let second = self.draw(avoid)?;
-        Some(self.better(first, second))
+        let first = self.draw_available(avoid)?;
+        let second = self.draw_available(avoid)?;
+        Some(self.better_of(first, second))
     }
 
-    /// An upstream where a task due at `due` may wait ahead of this entry's other tasks:
-    /// of a few drawn, the one with the fewest own tasks before it, then the least loaded.
-    pub(super) fn pick_ahead(&mut self, due: Due, avoid: Option<u32>) -> Option<u32> {
+    /// An upstream to which a task due at `due` may be sent ahead of a free slot: of a few
+    /// drawn at random, the one with the fewest own tasks before it, then the least loaded.
+    pub(super) fn pick_for_prefetch(&mut self, due: Due, avoid: Option<u32>) -> Option<u32> {
         if self.settings.policy != PlacementPolicy::Credits || self.settings.prefetch == 0 {
             return None;
         }
         let mut best: Option<((i64, i64), u32)> = None;
-        for _ in 0..DRAWS {
+        for _ in 0..MAX_DRAWS {
             let index = self.usable.draw(&mut self.rng)?;
             let Some(view) = self.get(index) else {
                 continue;
             };
-            let room = view.room_before(due, self.settings.prefetch);
-            let rank = (room, -view.believed());
+            let room = view.prefetch_room(due, self.settings.prefetch);
+            let rank = (room, -view.estimated_load());
             let is_better = best.is_none_or(|(most, _)| rank > most);
             if room > 0 && is_better && Some(index) != avoid {
                 best = Some((rank, index));
@@ -188,19 +198,19 @@
         best.map(|(_, index)| index)
     }
 
-    fn draw(&mut self, avoid: Option<u32>) -> Option<u32> {
-        for _ in 0..DRAWS {
-            let index = self.roomy.draw(&mut self.rng)?;
+    fn draw_available(&mut self, avoid: Option<u32>) -> Option<u32> {
+        for _ in 0..MAX_DRAWS {
+            let index = self.available.draw(&mut self.rng)?;
             if Some(index) != avoid {
                 return Some(index);
             }
         }
-        let others = self.roomy.members().iter();
+        let others = self.available.members().iter();
         others.copied().find(|index| Some(*index) != avoid)
     }
 
-    /// The one with more room; the nearer one between equals.
-    fn better(&self, first: u32, second: u32) -> u32 {
+    /// The one with more room; between equals, one in the entry's data centre.
+    fn better_of(&self, first: u32, second: u32) -> u32 {
         let rank = |index: u32| self.ranks.get(index as usize);
         if rank(second) > rank(first) {
             second
@@ -213,14 +223,15 @@
         view.room(self.settings.policy, self.settings.max_outstanding)
     }
 
+    /// Updates the rank of an upstream and its membership of the sets.
     fn refresh(&mut self, index: u32) {
         let Some(view) = self.get(index) else {
             return;
         };
-        let (usable, room, near) = (view.usable(), self.room(view), view.near);
-        let room = i32::try_from(room.clamp(-MOST_ROOM, MOST_ROOM)).unwrap_or(0);
-        self.ranks[index as usize] = room * 2 + i32::from(near);
+        let (usable, room, is_local) = (view.is_usable(), self.room(view), view.is_local);
+        let room = i32::try_from(room.clamp(-MAX_ROOM, MAX_ROOM)).unwrap_or(0);
+        self.ranks[index as usize] = room * 2 + i32::from(is_local);
         self.usable.set(index, usable);
-        self.roomy.set(index, room > 0);
+        self.available.set(index, room > 0);
     }
 }
--- a/crates/cassiarock-policy/src/place/upstream.rs
+++ b/crates/cassiarock-policy/src/place/upstream.rs
@@ -1,4 +1,4 @@
-//! What an upstream announces.
+//! The announcement of an upstream.
 
 use cassiarock_id::{Name, Process};
 
@@ -12,18 +12,18 @@
 /// ```
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Upstream {
-    /// Its agent.
+    /// The agent that serves it.
     pub agent: Process,
     /// How many tasks it runs at once.
     pub slots: u16,
-    /// Where it stands.
+    /// The data centre that it runs in; empty if unknown.
     pub data_centre: Name,
-    /// Its rack in the data centre.
+    /// Its rack in the data centre; empty if unknown.
     pub rack: Name,
 }
 
 impl Upstream {
-    /// An upstream at an unknown place.
+    /// An upstream at an unknown location.
     #[must_use]
     pub fn new(agent: Process, slots: u16) -> Self {
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// With its place.
+    /// Sets the data centre and the rack.
     #[must_use]
     pub fn with_location(mut self, data_centre: impl Into<Name>, rack: impl Into<Name>) -> Self {
         self.data_centre = data_centre.into();
--- a/crates/cassiarock-policy/src/place/view.rs
+++ b/crates/cassiarock-policy/src/place/view.rs
@@ -1,45 +1,47 @@
-//! What the entry knows of one upstream.
+//! The state of one upstream as an entry sees it.
 
 use super::upstream::Upstream;
 use crate::load::LoadReport;
 use crate::{Due, PlacementPolicy};
 use std::time::Duration;
 
-/// The load of one upstream as last heard, corrected by the entry's own starts since.
+/// The last reported load of one upstream, corrected by the entry's own starts since.
 #[derive(Debug)]
 pub(super) struct View {
     pub(super) upstream: Upstream,
     pub(super) leaving: bool,
-    /// Share of its slots to be used, in 1/256; lowered while it looks faulty.
+    /// The share of its slots that may be used, in 1/256; lowered while it seems faulty.
     pub(super) weight: u16,
-    pub(super) near: bool,
+    /// Whether it is in the entry's data centre.
+    pub(super) is_local: bool,
     pub(super) load: LoadReport,
+    /// When `load` was received.
     pub(super) heard_at: Option<Duration>,
     /// When a task was last sent.
     pub(super) sent_at: Option<Duration>,
     pub(super) credit: u16,
     pub(super) credit_at: Duration,
-    /// Slots that this entry has asked for and not been given.
+    /// Slots that this entry has demanded and not been granted.
     pub(super) asked: u16,
     /// The round of demands to which `asked` belongs.
     pub(super) round: u64,
     /// Tasks sent on this connection, modulo 2^32.
     pub(super) sent: u32,
-    /// When the tasks are due that were sent and whose end is not known.
+    /// The due times of the tasks that were sent and whose end is not known.
     pub(super) outstanding: Vec<Due>,
 }
 
-/// The full weight of a healthy upstream.
+/// The weight of an upstream that may use all its slots.
 pub(super) const FULL_WEIGHT: u16 = 256;
 
 impl View {
-    pub(super) fn new(upstream: Upstream, near: bool) -> Self {
+    pub(super) fn new(upstream: Upstream, is_local: bool) -> Self {
         let open = upstream.slots;
         Self {
             upstream,
             leaving: false,
             weight: FULL_WEIGHT,
-            near,
+            is_local,
             load: LoadReport {
                 open,
                 ..LoadReport::default()
@@ -55,12 +57,12 @@
         }
     }
 
-    pub(super) fn usable(&self) -> bool {
+    pub(super) fn is_usable(&self) -> bool {
         !self.leaving && self.weight > 0
     }
 
-    /// Takes in a load report. Reports arrive in order on a connection.
-    pub(super) fn hear(&mut self, load: LoadReport, now: Duration) {
+    /// Applies a load report. A connection delivers reports in order.
+    pub(super) fn apply_report(&mut self, load: LoadReport, now: Duration) {
         self.credit = self.credit.saturating_add(load.credit);
         if load.credit > 0 {
             self.credit_at = now;
@@ -69,85 +71,86 @@
         self.heard_at = Some(now);
     }
 
-    pub(super) fn start(&mut self, due: Due, now: Duration) {
+    pub(super) fn record_start(&mut self, due: Due, now: Duration) {
         self.sent_at = Some(now);
         self.credit = self.credit.saturating_sub(1);
         self.sent = self.sent.wrapping_add(1);
         self.outstanding.push(due);
     }
 
-    pub(super) fn land(&mut self, due: Due) {
+    pub(super) fn record_end(&mut self, due: Due) {
         let found = self.outstanding.iter().position(|other| *other == due);
         if let Some(at) = found {
             self.outstanding.swap_remove(at);
         }
     }
 
-    /// Whether there is neither recent news nor any on the way.
-    pub(super) fn is_stale(&self, now: Duration, stale: Duration) -> bool {
+    /// Whether no report came within `load_max_age`, and no task was sent that would bring
+    /// one.
+    pub(super) fn is_stale(&self, now: Duration, load_max_age: Duration) -> bool {
         let last = self.heard_at.max(self.sent_at);
-        last.is_none_or(|last| now.saturating_sub(last) >= stale)
+        last.is_none_or(|last| now.saturating_sub(last) >= load_max_age)
     }
 
-    /// Starts that were under way when the last report was written.
-    fn unseen(&self) -> i64 {
+    /// Starts that the last report does not count yet.
+    fn unseen_starts(&self) -> i64 {
         i64::from(self.sent.wrapping_sub(self.load.seen))
     }
 
-    /// How many more tasks fit, by what is known; negative if it is overbooked.
-    pub(super) fn room(&self, kind: PlacementPolicy, bound: u16) -> i64 {
-        if !self.usable() {
+    /// How many more tasks seem to fit; negative if the upstream is overbooked.
+    pub(super) fn room(&self, policy: PlacementPolicy, max_outstanding: u16) -> i64 {
+        if !self.is_usable() {
             return 0;
         }
-        let room = match kind {
-            PlacementPolicy::Random if self.believed() >= i64::from(bound) => 0,
-            PlacementPolicy::Random => i64::from(bound) - self.sent_out(),
-            PlacementPolicy::TwoChoices => i64::from(bound) - self.believed(),
+        let room = match policy {
+            PlacementPolicy::Random if self.estimated_load() >= i64::from(max_outstanding) => 0,
+            PlacementPolicy::Random => i64::from(max_outstanding) - self.outstanding_count(),
+            PlacementPolicy::TwoChoices => i64::from(max_outstanding) - self.estimated_load(),
             PlacementPolicy::Probes => i64::from(self.credit),
-            PlacementPolicy::Credits => self.free(),
+            PlacementPolicy::Credits => self.free_slots(),
         };
-        room.min(self.cap(bound) - self.sent_out())
+        room.min(self.share_limit(max_outstanding) - self.outstanding_count())
     }
 
-    /// Free slots. Starts under way count against the open slots even if they use
-    /// credits: that errs to the safe side, for one round trip.
-    fn free(&self) -> i64 {
-        i64::from(self.credit) + self.open().max(0)
+    /// Slots that a task may use at once. Starts that are not reported yet count against
+    /// the open slots even if they use credits; this underestimates for one round trip.
+    fn free_slots(&self) -> i64 {
+        i64::from(self.credit) + self.open_slots().max(0)
     }
 
-    /// Open slots; negative by the number of own tasks that wait there.
-    pub(super) fn open(&self) -> i64 {
-        i64::from(self.load.open) - i64::from(self.load.own) - self.unseen()
+    /// Open slots minus the entry's own tasks that wait there or are not reported yet.
+    pub(super) fn open_slots(&self) -> i64 {
+        i64::from(self.load.open) - i64::from(self.load.own) - self.unseen_starts()
     }
 
-    /// Places for a task due at `due`, if those of own tasks that are due later do not
-    /// count: the task will pass them in the upstream's queue.
-    pub(super) fn room_before(&self, due: Due, ahead: u16) -> i64 {
+    /// How many tasks due at `due` may still be sent ahead of free slots. Own tasks that
+    /// are due later do not count: the upstream's queue serves them afterwards.
+    pub(super) fn prefetch_room(&self, due: Due, prefetch: u16) -> i64 {
         let later = self.outstanding.iter().filter(|other| **other > due);
-        let waiting = (-self.open()).max(0);
+        let waiting = (-self.open_slots()).max(0);
         let earlier = (waiting - i64::try_from(later.count()).unwrap_or(0)).max(0);
-        // Behind a slow upstream's slots tasks wait longest, so it gets none ahead as soon
-        // as it has lost part of its share.
+        // Tasks wait longest for the slots of a slow upstream, so none is sent ahead to one
+        // that has lost part of its share.
         if self.weight < FULL_WEIGHT {
             return 0;
         }
-        i64::from(ahead) - earlier
+        i64::from(prefetch) - earlier
     }
 
-    fn sent_out(&self) -> i64 {
+    fn outstanding_count(&self) -> i64 {
         i64::try_from(self.outstanding.len()).unwrap_or(i64::MAX)
     }
 
-    /// Tasks believed to run or wait there.
-    pub(super) fn believed(&self) -> i64 {
+    /// Estimated number of tasks that run or wait there.
+    pub(super) fn estimated_load(&self) -> i64 {
         let busy = i64::from(self.upstream.slots) - i64::from(self.load.open);
-        busy + i64::from(self.load.queued) + self.unseen()
+        busy + i64::from(self.load.queued) + self.unseen_starts()
     }
 
-    /// The most tasks of this entry that its weight lets it have at once.
-    fn cap(&self, bound: u16) -> i64 {
+    /// How many tasks of this entry its weight lets it have at once.
+    fn share_limit(&self, max_outstanding: u16) -> i64 {
         if self.weight >= FULL_WEIGHT {
-            return i64::from(bound);
+            return i64::from(max_outstanding);
         }
         let share = u32::from(self.upstream.slots) * u32::from(self.weight);
         i64::from(share.div_ceil(u32::from(FULL_WEIGHT)))
