--- a/crates/cassiarock-policy/src/admission/controller.rs
+++ b/crates/cassiarock-policy/src/admission/controller.rs
@@ -1,9 +1,9 @@
-//! Admission of jobs at one entry.
+//! Admission control of one entry.
 
 use super::backlog::Backlog;
 use super::request::{AdmissionRequest, Answer, Reason};
 use super::settings::Settings;
-use super::spread::Spread;
+use super::spread::RetrySpread;
 use super::team::{Share, Teams, Usage};
 use crate::size::Estimator;
 use cassiarock_id::{Job, Name, Process};
@@ -13,95 +13,102 @@
 /// An admitted job.
 #[derive(Debug)]
 struct Admitted {
+    /// Tasks that have not ended.
     tasks: usize,
+    /// Work of the whole job in seconds of slot time.
     work: f64,
-    each: f64,
+    work_per_task: f64,
     deadline: Option<Duration>,
 }
 
 /// Admits or refuses jobs at one entry.
 ///
-/// Made for more work than the pool can do. A job that would miss its deadline is
-/// refused when it arrives: admitted, it would use slots until the deadline and then
-/// count for nothing, and its caller would learn late. Small jobs are served first, so
-/// they are refused last; a large one is admitted as long as what is not larger, and what
-/// smaller work keeps arriving, leave it time.
+/// Protects the pool from more work than it can do. A job that would miss its deadline is
+/// refused when it arrives: if admitted, it would use slots until its deadline without a
+/// result, and its caller would learn of the failure late. Small jobs are served first, so
+/// they are refused last. A large job is admitted as long as the admitted work that is not
+/// larger, and the smaller work that keeps arriving, leave it enough time.
 ///
 /// ```
 /// use cassiarock_id::{Job, Name, Wall};
-/// use cassiarock_policy::admission::{Answer, AdmissionController, AdmissionRequest, Settings};
+/// use cassiarock_policy::admission::{AdmissionController, AdmissionRequest, Answer, Settings};
 /// use std::time::Duration;
-/// let mut gate = AdmissionController::new(Settings::default(), 1);
-/// gate.set_slots(88);
+/// let mut admission = AdmissionController::new(Settings::default(), 1);
+/// admission.set_slots(88);
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
-/// let offer = AdmissionRequest::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
-/// assert!(matches!(gate.admit(&offer, Duration::ZERO), Answer::Admit(_)));
+/// let request = AdmissionRequest::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
+/// assert!(matches!(admission.admit(&request, Duration::ZERO), Answer::Admit(_)));
 /// ```
 #[derive(Debug)]
 pub struct AdmissionController {
     settings: Settings,
     slots: f64,
     /// Whether no upstream can be reached.
-    is_out: bool,
+    is_outage: bool,
     tasks: usize,
     jobs: HashMap<Job, Admitted>,
     backlog: Backlog,
     teams: Teams,
-    spread: Spread,
+    spread: RetrySpread,
 }
 
 impl AdmissionController {
-    /// A gate without a pool; it admits until it knows one.
+    /// A controller that knows no slots yet. Until it does, it refuses no job for its
+    /// deadline.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             settings,
             slots: 0.0,
-            is_out: false,
+            is_outage: false,
             tasks: 0,
             jobs: HashMap::new(),
             backlog: Backlog::new(),
             teams: Teams::default(),
-            spread: Spread::new(seed),
+            spread: RetrySpread::new(seed),
         }
     }
 
-    /// How many slots all upstreams have. None at all means an outage: what the pool had
-    /// before is then what it will have again, and waiting jobs are judged by that.
+    /// Sets how many slots all upstreams have. Zero means an outage: the pool is assumed to
+    /// get its previous slots back, and jobs are judged by these.
     pub fn set_slots(&mut self, slots: usize) {
-        self.is_out = slots == 0;
-        if self.is_out {
+        self.is_outage = slots == 0;
+        if self.is_outage {
             return;
         }
         self.slots = slots as f64;
         self.backlog.set_slots(self.slots);
     }
 
-    /// The teams' weights and quotas, from the configuration.
+    /// Sets the teams' weights and quotas, from the configuration.
     pub fn set_teams(&mut self, shares: HashMap<Name, Share>) {
-        self.teams.set(shares);
+        self.teams.set_shares(shares);
     }
 
-    /// Decides on a job.
-    pub fn admit(&mut self, offer: &AdmissionRequest, now: Duration) -> Answer {
-        self.backlog.decay(!self.is_out, now);
-        let work = offer.work.as_secs_f64();
-        if let Some((reason, wait)) = self.objection(offer, work, now) {
-            let service = self.backlog.service();
-            let retry_after = self.spread.next(work, wait, service, &self.settings, now);
+    /// Admits or refuses a job.
+    pub fn admit(&mut self, request: &AdmissionRequest, now: Duration) -> Answer {
+        self.backlog.decay(!self.is_outage, now);
+        let work = request.work.as_secs_f64();
+        if let Some((reason, wait)) = self.refusal(request, work, now) {
+            let service_rate = self.backlog.service_rate();
+            let retry_after = self
+                .spread
+                .next(work, wait, service_rate, &self.settings, now);
             return Answer::Refuse {
                 reason,
                 retry_after,
             };
         }
         let burst = self.settings.quota_burst;
-        let ahead = self.teams.charge(&offer.team, work, self.slots, burst, now);
-        self.keep(offer, work, now);
-        let due = Estimator::due(now, offer.work, self.slots as usize);
+        let ahead = self
+            .teams
+            .charge(&request.team, work, self.slots, burst, now);
+        self.record(request, work, now);
+        let due = Estimator::due(now, request.work, self.slots as usize);
         Answer::Admit(due.plus(ahead))
     }
 
-    /// Tasks of an admitted job ended, or were dropped before they started.
+    /// Removes tasks of an admitted job that ended or were dropped before they started.
     pub fn finish(&mut self, job: Job, tasks: usize) {
         let Some(admitted) = self.jobs.get_mut(&job) else {
             return;
@@ -109,52 +116,54 @@
         let tasks = tasks.min(admitted.tasks);
         admitted.tasks -= tasks;
         self.tasks -= tasks;
-        let done = admitted.each * tasks as f64;
+        let done = admitted.work_per_task * tasks as f64;
         self.backlog.finish(admitted.work, done);
         if admitted.tasks == 0 {
             self.jobs.remove(&job);
         }
     }
 
-    /// Nobody waits for the job any more.
+    /// Removes a job for which no caller waits any more.
     pub fn drop_job(&mut self, job: Job) {
         let Some(admitted) = self.jobs.remove(&job) else {
             return;
         };
         self.tasks -= admitted.tasks;
-        let left = admitted.each * admitted.tasks as f64;
-        self.backlog.remove(admitted.work, left);
+        let remaining = admitted.work_per_task * admitted.tasks as f64;
+        self.backlog.remove(admitted.work, remaining);
     }
 
-    /// Admitted jobs that cannot end before their deadline even if all slots worked for
-    /// them. What remains of them would be thrown away; drop it before it starts.
+    /// Admitted jobs that cannot end before their deadline even if they got all slots. The
+    /// results of their remaining tasks would be discarded, so do not start these.
     #[must_use]
     pub fn infeasible_jobs(&self, now: Duration) -> Vec<Job> {
         let slots = self.slots.max(1.0);
-        let hopeless = self.jobs.iter().filter(|(_, admitted)| {
-            let left = admitted.each * admitted.tasks as f64 / slots;
-            let end = now + Duration::from_secs_f64(left);
+        let infeasible = self.jobs.iter().filter(|(_, admitted)| {
+            let remaining = admitted.work_per_task * admitted.tasks as f64 / slots;
+            let end = now + Duration::from_secs_f64(remaining);
             admitted.deadline.is_some_and(|deadline| end > deadline)
         });
-        let mut jobs: Vec<Job> = hopeless.map(|(job, _)| *job).collect();
+        let mut jobs: Vec<Job> = infeasible.map(|(job, _)| *job).collect();
         jobs.sort();
         jobs
     }
 
-    /// What to tell the other entries about once a second: teams with new work.
+    /// The usage of teams with newly admitted work, to send to the other entries about once a
+    /// second.
     pub fn usage_updates(&mut self) -> Vec<Usage> {
-        self.teams.news()
+        self.teams.usage_updates()
     }
 
-    /// What another entry told.
+    /// Charges the usage that another entry sent.
     pub fn apply_usage(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
         let burst = self.settings.quota_burst;
-        self.teams.hear(entry, usages, self.slots, burst, now);
+        self.teams
+            .apply_usage(entry, usages, self.slots, burst, now);
     }
 
-    /// Another entry is gone.
+    /// Forgets the usage reported by an entry that is gone.
     pub fn remove_entry(&mut self, entry: &Process) {
-        self.teams.forget(entry);
+        self.teams.remove_entry(entry);
     }
 
     /// Tasks of admitted jobs that have not ended.
@@ -163,49 +172,53 @@
         self.tasks
     }
 
-    /// Why the job has to be refused, and for how many seconds that holds.
-    fn objection(
+    /// Why the job has to be refused and for how many seconds that is expected to hold;
+    /// `None` to admit it.
+    fn refusal(
         &mut self,
-        offer: &AdmissionRequest,
+        request: &AdmissionRequest,
         work: f64,
         now: Duration,
     ) -> Option<(Reason, f64)> {
-        let backlog = self.backlog.total() / self.backlog.service();
-        if self.tasks + offer.task_count > self.settings.max_tasks
+        let backlog = self.backlog.total_work() / self.backlog.service_rate();
+        if self.tasks + request.task_count > self.settings.max_tasks
             || self.jobs.len() >= self.settings.max_jobs
         {
             return Some((Reason::Full, backlog / 2.0));
         }
-        if let Some(wait) = self.teams.wait(&offer.team, self.settings.quota_burst, now) {
+        if let Some(wait) = self
+            .teams
+            .quota_wait(&request.team, self.settings.quota_burst, now)
+        {
             return Some((Reason::Quota, wait));
         }
         if self.slots == 0.0 {
             return None;
         }
-        let patience = offer
+        let time_left = request
             .time_left
             .unwrap_or(self.settings.default_deadline)
             .as_secs_f64();
-        // A team within its share is served before one that is ahead of its own, so the
-        // other's backlog does not delay it.
+        // A team within its share is served before teams that exceed theirs, so their
+        // backlog does not delay it.
         let burst = self.settings.quota_burst;
         let by_share = self
             .teams
-            .end_by_share(&offer.team, work, self.slots, burst, now);
-        let end = self.backlog.end_of(work);
+            .seconds_by_share(&request.team, work, self.slots, burst, now);
+        let end = self.backlog.seconds_to_finish(work);
         let end = by_share.map_or(end, |by_share| end.min(by_share));
-        (end > patience).then(|| (Reason::Late, (end - patience).min(backlog)))
+        (end > time_left).then(|| (Reason::Late, (end - time_left).min(backlog)))
     }
 
-    fn keep(&mut self, offer: &AdmissionRequest, work: f64, now: Duration) {
-        self.tasks += offer.task_count;
+    fn record(&mut self, request: &AdmissionRequest, work: f64, now: Duration) {
+        self.tasks += request.task_count;
         self.backlog.add(work);
         let admitted = Admitted {
-            tasks: offer.task_count,
+            tasks: request.task_count,
             work,
-            each: work / offer.task_count.max(1) as f64,
-            deadline: offer.time_left.map(|within| now + within),
+            work_per_task: work / request.task_count.max(1) as f64,
+            deadline: request.time_left.map(|time_left| now + time_left),
         };
-        self.jobs.insert(offer.job, admitted);
+        self.jobs.insert(request.job, admitted);
     }
 }
--- a/crates/cassiarock-policy/src/admission/mod.rs
+++ b/crates/cassiarock-policy/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Whether a job is admitted, when it is due, and when a refused one may come again.
+//! Admission control: whether a job is admitted, when it is due, and when the caller of a
+//! refused job may try again.
 
 mod backlog;
 mod controller;
--- a/crates/cassiarock-policy/src/admission/request.rs
+++ b/crates/cassiarock-policy/src/admission/request.rs
@@ -1,4 +1,4 @@
-//! What is offered to the gate, and its answer.
+//! Requests for admission and their answers.
 
 use crate::Due;
 use cassiarock_id::{Job, Name};
@@ -11,18 +11,18 @@
 /// use cassiarock_policy::admission::AdmissionRequest;
 /// use std::time::Duration;
 /// let id = Job::with_bits(Wall::from_millis(1), 1);
-/// let offer = AdmissionRequest::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
-/// assert_eq!(offer.time_left, None);
+/// let request = AdmissionRequest::new(id, Name::from("valley-3"), 20, Duration::from_secs(5));
+/// assert_eq!(request.time_left, None);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionRequest {
     /// The job.
     pub job: Job,
-    /// Whose quota it uses.
+    /// The team whose quota it uses.
     pub team: Name,
     /// How many tasks it has.
     pub task_count: usize,
-    /// Their expected run time in all.
+    /// The expected run time of all its tasks together.
     pub work: Duration,
     /// The time left until its caller's deadline.
     pub time_left: Option<Duration>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// With a deadline.
+    /// Sets [`Self::time_left`].
     #[must_use]
     pub const fn with_deadline(mut self, time_left: Duration) -> Self {
         self.time_left = Some(time_left);
@@ -52,11 +52,11 @@
 /// Why a job is refused. None of its tasks has been started.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Reason {
-    /// The entry holds as many tasks or jobs as it may.
+    /// The entry has reached its limit on tasks or jobs.
     Full,
-    /// It would not end before its deadline.
+    /// The job would not end before its deadline.
     Late,
-    /// Its team has used up its quota.
+    /// The job's team has used up its quota.
     Quota,
 }
 
@@ -72,16 +72,17 @@
     }
 }
 
-/// The gate's answer.
+/// The answer to an [`AdmissionRequest`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     /// The job is admitted and due at this time.
     Admit(Due),
-    /// It is refused.
+    /// The job is refused.
     Refuse {
-        /// Why.
+        /// Why it is refused.
         reason: Reason,
-        /// When its caller may try again; differs from caller to caller.
+        /// After how long its caller may try again. Randomized, so that refused callers do
+        /// not return together.
         retry_after: Duration,
     },
 }
--- a/crates/cassiarock-policy/src/admission/settings.rs
+++ b/crates/cassiarock-policy/src/admission/settings.rs
@@ -1,8 +1,8 @@
-//! The bounds of admission.
+//! The settings of admission control.
 
 use std::time::Duration;
 
-/// The bounds of a [`super::AdmissionController`].
+/// The settings of a [`super::AdmissionController`].
 ///
 /// ```
 /// use cassiarock_policy::admission::Settings;
@@ -11,18 +11,19 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Tasks of admitted jobs at most, waiting and running. At 1 KB a task, 50,000 are
-    /// 50 MB of an entry's 256 MB.
+    /// Maximum number of tasks of admitted jobs, waiting and running. At 1 KB a task, 50,000
+    /// tasks use 50 MB of an entry's 256 MB.
     pub max_tasks: usize,
-    /// Jobs admitted at most: each is a waiting HTTP request.
+    /// Maximum number of admitted jobs. Each is a waiting HTTP request.
     pub max_jobs: usize,
-    /// The wait allowed to a job whose caller names no deadline.
+    /// The deadline, from its arrival, of a job whose caller sets none.
     pub default_deadline: Duration,
-    /// How many seconds of its quota a team may save up and use in one burst.
+    /// For how long a team may save up unused quota and then use it in one burst.
     pub quota_burst: Duration,
-    /// The shortest wait before a refused caller comes again.
+    /// The shortest wait that a refused caller is told.
     pub min_retry_after: Duration,
-    /// The longest such wait.
+    /// The longest wait that a refused caller is told, apart from jitter of up to twice the
+    /// shortest.
     pub max_retry_after: Duration,
 }
 
@@ -40,17 +41,17 @@
 }
 
 impl Settings {
-    /// With another bound on tasks.
+    /// Sets [`Self::max_tasks`].
     #[must_use]
     pub const fn with_max_tasks(mut self, tasks: usize) -> Self {
         self.max_tasks = tasks;
         self
     }
 
-    /// With another patience.
+    /// Sets [`Self::default_deadline`].
     #[must_use]
-    pub const fn with_default_deadline(mut self, patience: Duration) -> Self {
-        self.default_deadline = patience;
+    pub const fn with_default_deadline(mut self, deadline: Duration) -> Self {
+        self.default_deadline = deadline;
         self
     }
 }
--- a/crates/cassiarock-policy/src/admission/spread.rs
+++ b/crates/cassiarock-policy/src/admission/spread.rs
@@ -1,24 +1,26 @@
-//! When refused callers come again.
+//! When refused callers may try again.
 
 use super::Settings;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Over which time refused work is remembered, in seconds: most callers come again
+/// Time constant, in seconds, over which refused work is forgotten. Most callers try again
 /// within it.
-const MEMORY: f64 = 10.0;
+const REFUSED_DECAY_SECONDS: f64 = 10.0;
 
-/// Spreads the return of refused work so that it does not exceed the service rate: the
-/// refused of one second would otherwise return together and be refused together.
+/// Spreads retries of refused jobs over time so that their work does not exceed the service
+/// rate. Jobs refused within the same second would otherwise return together and be refused
+/// together again.
 #[derive(Debug)]
-pub(super) struct Spread {
+pub(super) struct RetrySpread {
+    /// Recently refused work in seconds of slot time.
     refused: f64,
     decayed_at: Duration,
     rng: StdRng,
 }
 
-impl Spread {
+impl RetrySpread {
     pub(super) fn new(seed: u64) -> Self {
         Self {
             refused: 0.0,
@@ -27,7 +29,8 @@
         }
     }
 
-    /// When a job of `work` may come again that would fit in `wait` seconds.
+    /// After how long a refused job of `work` may be tried again if it is expected to fit in
+    /// `wait` seconds.
     pub(super) fn next(
         &mut self,
         work: f64,
@@ -38,12 +41,12 @@
     ) -> Duration {
         let passed = now.saturating_sub(self.decayed_at).as_secs_f64();
         self.decayed_at = now;
-        self.refused = self.refused * (-passed / MEMORY).exp() + work;
+        self.refused = self.refused * (-passed / REFUSED_DECAY_SECONDS).exp() + work;
         let longest = settings.max_retry_after.as_secs_f64();
         let wait = wait.clamp(0.0, longest / 2.0);
         let width = (self.refused / service).clamp(wait, longest - wait);
         let spread = Duration::from_secs_f64(wait + width * self.rng.random::<f64>());
-        // Above the shortest wait, so that the bound itself does not line callers up.
+        // Without jitter on the shortest wait, callers at this bound would return together.
         spread
             + settings
                 .min_retry_after
--- a/crates/cassiarock-policy/src/admission/team.rs
+++ b/crates/cassiarock-policy/src/admission/team.rs
@@ -1,23 +1,23 @@
-//! Fairness between teams, and their quotas.
+//! Fair shares and quotas of teams.
 
 use cassiarock_id::{Name, Process};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Teams tracked at most. Above, idle ones are forgotten; the plan has 180.
-const TEAMS: usize = 1024;
+/// Number of tracked teams from which idle ones are dropped. 180 teams are planned.
+const MAX_TEAMS: usize = 1024;
 
-/// How far ahead of its share a team may be counted, in seconds. Bounds how long one
-/// burst is held against a team.
-const FURTHEST: f64 = 120.0;
+/// Bound, in seconds, on how far a team counts as ahead of its share. It limits how long one
+/// burst delays the team.
+const MAX_AHEAD_SECONDS: f64 = 120.0;
 
 /// A team's share of the pool.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Share {
-    /// Its part, relative to the weights of the teams that have work.
+    /// Its weight, relative to the weights of the other teams that have work.
     pub weight: f64,
-    /// How many slots it may keep busy on average; none if `None`.
+    /// How many slots it may keep busy on average; unlimited if `None`.
     pub quota: Option<f64>,
 }
 
@@ -33,39 +33,43 @@
 /// The work an entry has admitted for a team since the entry started.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Usage {
-    /// The team.
+    /// The team's name.
     pub team: Name,
-    /// Milliseconds of slot time, ever growing: a message lost is made up by the next.
+    /// The admitted work in milliseconds of slot time. It only grows, so a lost message is
+    /// made up for by the next.
     pub work_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Team {
     share: Share,
-    /// Seconds since the process started up to which its admitted work uses its share.
-    used_until: f64,
-    /// Seconds of slot time left of its quota.
+    /// Until when its admitted work uses its share, in seconds since the process started.
+    share_used_until: f64,
+    /// The unused part of its quota in seconds of slot time; negative if exceeded.
     tokens: f64,
     filled_at: f64,
-    own_ms: u64,
-    told_ms: u64,
+    /// Work admitted at this entry, in milliseconds of slot time.
+    admitted_ms: u64,
+    /// The part of `admitted_ms` that the other entries were told of.
+    announced_ms: u64,
 }
 
-/// All teams, as one entry sees them.
+/// The accounts of all teams at one entry.
 ///
-/// Entries tell each other now and then what they have admitted. Each charges what it
-/// hears to the same accounts as its own admissions, so that no message is needed per
-/// job; between two tellings a team can exceed its quota by what the other entries admit
-/// in that time.
+/// Entries regularly tell each other how much work they have admitted for each team. Each
+/// charges that to the same accounts as its own admissions, so that no message is needed per
+/// job. Between two messages a team can exceed its quota by what the other entries admit in
+/// that time.
 #[derive(Debug, Default)]
 pub(super) struct Teams {
     shares: HashMap<Name, Share>,
     teams: BTreeMap<Name, Team>,
-    heard: HashMap<(Process, Name), u64>,
+    /// The work last reported by each other entry, in milliseconds of slot time.
+    reported: HashMap<(Process, Name), u64>,
 }
 
 impl Teams {
-    pub(super) fn set(&mut self, shares: HashMap<Name, Share>) {
+    pub(super) fn set_shares(&mut self, shares: HashMap<Name, Share>) {
         for (name, team) in &mut self.teams {
             team.share = shares.get(name).copied().unwrap_or_default();
         }
@@ -73,7 +77,12 @@
     }
 
     /// Seconds until the quota allows more work; `None` if it does now.
-    pub(super) fn wait(&mut self, name: &Name, burst: Duration, now: Duration) -> Option<f64> {
+    pub(super) fn quota_wait(
+        &mut self,
+        name: &Name,
+        burst: Duration,
+        now: Duration,
+    ) -> Option<f64> {
         let team = self.team(name, burst, now);
         let quota = team.share.quota?;
         if team.tokens > 0.0 {
@@ -86,7 +95,8 @@
         })
     }
 
-    /// Charges work admitted here; returns how far the team is ahead of its share.
+    /// Charges work admitted at this entry. Returns how far the team was ahead of its share
+    /// before.
     pub(super) fn charge(
         &mut self,
         name: &Name,
@@ -96,15 +106,16 @@
         now: Duration,
     ) -> Duration {
         let seconds = now.as_secs_f64();
-        let ahead = (self.team(name, burst, now).used_until - seconds).clamp(0.0, FURTHEST);
-        self.team(name, burst, now).own_ms += (work * 1000.0) as u64;
-        self.use_up(name, work, slots, burst, now);
+        let ahead =
+            (self.team(name, burst, now).share_used_until - seconds).clamp(0.0, MAX_AHEAD_SECONDS);
+        self.team(name, burst, now).admitted_ms += (work * 1000.0) as u64;
+        self.account(name, work, slots, burst, now);
         Duration::from_secs_f64(ahead)
     }
 
-    /// In how many seconds work of the team would end if the team got just its share of
-    /// the slots; `None` if no other team has work.
-    pub(super) fn end_by_share(
+    /// In how many seconds work of the team would end if the team got only its share of the
+    /// slots; `None` if no other team has work.
+    pub(super) fn seconds_by_share(
         &mut self,
         name: &Name,
         work: f64,
@@ -113,27 +124,27 @@
         now: Duration,
     ) -> Option<f64> {
         let seconds = now.as_secs_f64();
-        let ahead = self.team(name, burst, now).used_until - seconds;
-        let rate = self.rate(name, slots, burst, now);
-        (rate < slots).then(|| ahead.max(0.0) + work / rate.max(0.001))
+        let ahead = self.team(name, burst, now).share_used_until - seconds;
+        let slots_entitled = self.entitled_slots(name, slots, burst, now);
+        (slots_entitled < slots).then(|| ahead.max(0.0) + work / slots_entitled.max(0.001))
     }
 
-    /// What to tell the other entries: teams with new work since the last call.
-    pub(super) fn news(&mut self) -> Vec<Usage> {
-        let mut news = Vec::new();
+    /// The usage of teams with newly admitted work since the last call.
+    pub(super) fn usage_updates(&mut self) -> Vec<Usage> {
+        let mut updates = Vec::new();
         for (name, team) in &mut self.teams {
-            if team.own_ms != team.told_ms {
-                team.told_ms = team.own_ms;
-                news.push(Usage {
+            if team.admitted_ms != team.announced_ms {
+                team.announced_ms = team.admitted_ms;
+                updates.push(Usage {
                     team: name.clone(),
-                    work_ms: team.own_ms,
+                    work_ms: team.admitted_ms,
                 });
             }
         }
-        news
+        updates
     }
 
-    pub(super) fn hear(
+    pub(super) fn apply_usage(
         &mut self,
         entry: &Process,
         usages: &[Usage],
@@ -143,28 +154,29 @@
     ) {
         for usage in usages {
             let key = (entry.clone(), usage.team.clone());
-            let before = self.heard.insert(key, usage.work_ms).unwrap_or(0);
+            let before = self.reported.insert(key, usage.work_ms).unwrap_or(0);
             let work = usage.work_ms.saturating_sub(before) as f64 / 1000.0;
-            self.use_up(&usage.team, work, slots, burst, now);
+            self.account(&usage.team, work, slots, burst, now);
         }
     }
 
-    /// Forgets what an entry told that is gone.
-    pub(super) fn forget(&mut self, entry: &Process) {
-        self.heard.retain(|(other, _), _| other != entry);
+    /// Forgets the usage reported by an entry that is gone.
+    pub(super) fn remove_entry(&mut self, entry: &Process) {
+        self.reported.retain(|(other, _), _| other != entry);
     }
 
-    fn use_up(&mut self, name: &Name, work: f64, slots: f64, burst: Duration, now: Duration) {
+    fn account(&mut self, name: &Name, work: f64, slots: f64, burst: Duration, now: Duration) {
         let seconds = now.as_secs_f64();
-        let rate = self.rate(name, slots, burst, now);
+        let slots_entitled = self.entitled_slots(name, slots, burst, now);
         let team = self.team(name, burst, now);
-        team.used_until = team.used_until.max(seconds) + work / rate.max(0.001);
-        team.used_until = team.used_until.min(seconds + FURTHEST);
+        team.share_used_until =
+            team.share_used_until.max(seconds) + work / slots_entitled.max(0.001);
+        team.share_used_until = team.share_used_until.min(seconds + MAX_AHEAD_SECONDS);
         team.tokens -= work;
     }
 
     /// How many slots the team is entitled to among the teams that have work.
-    fn rate(&mut self, name: &Name, slots: f64, burst: Duration, now: Duration) -> f64 {
+    fn entitled_slots(&mut self, name: &Name, slots: f64, burst: Duration, now: Duration) -> f64 {
         let own = self.team(name, burst, now).share.weight.max(0.001);
         let seconds = now.as_secs_f64();
         let others = self.active(seconds).filter(|(other, _)| *other != name);
@@ -174,23 +186,23 @@
 
     fn active(&self, seconds: f64) -> impl Iterator<Item = (&Name, &Team)> {
         let teams = self.teams.iter();
-        teams.filter(move |(_, team)| team.used_until > seconds)
+        teams.filter(move |(_, team)| team.share_used_until > seconds)
     }
 
     fn team(&mut self, name: &Name, burst: Duration, now: Duration) -> &mut Team {
         let seconds = now.as_secs_f64();
-        if self.teams.len() >= TEAMS && !self.teams.contains_key(name) {
-            self.teams.retain(|_, team| team.used_until > seconds);
+        if self.teams.len() >= MAX_TEAMS && !self.teams.contains_key(name) {
+            self.teams.retain(|_, team| team.share_used_until > seconds);
         }
         let share = self.shares.get(name).copied().unwrap_or_default();
         let full = share.quota.unwrap_or(0.0) * burst.as_secs_f64();
         let team = self.teams.entry(name.clone()).or_insert(Team {
             share,
-            used_until: seconds,
+            share_used_until: seconds,
             tokens: full,
             filled_at: seconds,
-            own_ms: 0,
-            told_ms: 0,
+            admitted_ms: 0,
+            announced_ms: 0,
         });
         let quota = team.share.quota.unwrap_or(0.0);
         let refill = quota * (seconds - team.filled_at).max(0.0);
--- a/crates/cassiarock-policy/src/health/monitor.rs
+++ b/crates/cassiarock-policy/src/health/monitor.rs
@@ -30,7 +30,7 @@
 ///
 /// ```
 /// use cassiarock_id::Process;
-/// use cassiarock_policy::health::{Outcome, Monitor, Settings};
+/// use cassiarock_policy::health::{Monitor, Outcome, Settings};
 /// use std::time::Duration;
 /// let mut monitor = Monitor::new(Settings::default());
 /// for index in 0..11 {
--- a/crates/cassiarock-policy/src/slot/demand.rs
+++ b/crates/cassiarock-policy/src/slot/demand.rs
@@ -1,4 +1,4 @@
-//! Who waits for slots here, and who holds credits.
+//! Which entries wait for slots of an upstream, and which hold credits.
 
 use super::Settings;
 use crate::Due;
@@ -7,18 +7,23 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What one entry wants and holds.
+/// The demand and the credits of one entry.
 #[derive(Debug)]
-pub(super) struct Demand {
+pub(super) struct EntryDemand {
+    /// Slots that the entry wants.
     pub(super) waiting: u16,
+    /// When the most urgent work is due that it wants them for.
     pub(super) due: Due,
+    /// When the demand was last renewed.
     pub(super) asked_at: Duration,
+    /// Slots kept free for the entry.
     pub(super) credit: u16,
     pub(super) credit_until: Duration,
+    /// Tasks received from the entry, modulo 2^32.
     pub(super) seen: u32,
 }
 
-impl Demand {
+impl EntryDemand {
     fn new(now: Duration) -> Self {
         Self {
             waiting: 0,
@@ -30,33 +35,33 @@
         }
     }
 
-    pub(super) fn give(&mut self, now: Duration, hold: Duration) {
+    pub(super) fn grant_credit(&mut self, now: Duration, hold: Duration) {
         self.waiting = self.waiting.saturating_sub(1);
         self.credit = self.credit.saturating_add(1);
         self.credit_until = now + hold;
     }
 }
 
-/// The demand of all entries. A pool has a few entries (three today), so plain scans
+/// The demands of all entries. A pool has few entries (three at present), so linear scans
 /// are the cheapest search.
 #[derive(Debug, Default)]
-pub(super) struct Register {
-    entries: HashMap<Process, Demand>,
+pub(super) struct Demands {
+    entries: HashMap<Process, EntryDemand>,
 }
 
-impl Register {
-    pub(super) fn of(&mut self, entry: &Process, now: Duration) -> &mut Demand {
+impl Demands {
+    pub(super) fn get_or_insert(&mut self, entry: &Process, now: Duration) -> &mut EntryDemand {
         self.entries
             .entry(entry.clone())
-            .or_insert_with(|| Demand::new(now))
+            .or_insert_with(|| EntryDemand::new(now))
     }
 
-    pub(super) fn ask(&mut self, entry: &Process, ask: &SlotDemand, now: Duration) {
-        let demand = self.of(entry, now);
-        demand.waiting = ask.waiting;
-        demand.due = Due::from_lateness(now, ask.lateness);
+    pub(super) fn set(&mut self, entry: &Process, slot_demand: &SlotDemand, now: Duration) {
+        let demand = self.get_or_insert(entry, now);
+        demand.waiting = slot_demand.waiting;
+        demand.due = Due::from_lateness(now, slot_demand.lateness);
         demand.asked_at = now;
-        demand.credit = demand.credit.saturating_sub(ask.returned);
+        demand.credit = demand.credit.saturating_sub(slot_demand.returned);
     }
 
     pub(super) fn remove(&mut self, entry: &Process) {
@@ -67,15 +72,15 @@
         self.entries.values().map(|demand| demand.credit).sum()
     }
 
-    pub(super) fn others_wait(&self, entry: &Process) -> bool {
+    pub(super) fn others_waiting(&self, entry: &Process) -> bool {
         self.entries
             .iter()
             .any(|(other, demand)| demand.waiting > 0 && other != entry)
     }
 
-    /// The entry whose work is due first. Ties go by name, so that the choice does not
-    /// depend on hashing.
-    pub(super) fn first(&self) -> Option<(&Process, &Demand)> {
+    /// The entry whose work is due first. Ties are resolved by name, so that the choice does
+    /// not depend on the hash map's order.
+    pub(super) fn earliest_due(&self) -> Option<(&Process, &EntryDemand)> {
         self.entries
             .iter()
             .filter(|(_, demand)| demand.waiting > 0)
--- a/crates/cassiarock-policy/src/slot/mod.rs
+++ b/crates/cassiarock-policy/src/slot/mod.rs
@@ -1,4 +1,4 @@
-//! An agent's slots: which start runs, which waits, who gets the next free one.
+//! An agent's slots: which starts run, which wait, and which entry gets the next free slot.
 
 mod demand;
 mod queue;
--- a/crates/cassiarock-policy/src/slot/settings.rs
+++ b/crates/cassiarock-policy/src/slot/settings.rs
@@ -3,7 +3,7 @@
 use crate::Objective;
 use std::time::Duration;
 
-/// Bounds and waiting times of a [`super::SlotScheduler`].
+/// The settings of a [`super::SlotScheduler`].
 ///
 /// ```
 /// use cassiarock_policy::slot::Settings;
@@ -14,21 +14,22 @@
 pub struct Settings {
     /// How many tasks run at once.
     pub slots: u16,
-    /// How many starts wait here at most. At 8 slots and 250 ms a task that is a wait of 16 s.
+    /// How many starts may wait in the queue. At 8 slots and 250 ms a task, 512 starts are
+    /// a wait of 16 s.
     pub queue_capacity: u16,
-    /// How much earlier another entry's work must be due for it to get a slot before the
-    /// entry that the outcome goes to anyway, and before what waits here. Larger saves
-    /// grant frames. Due times of jobs differ by seconds to minutes, since a job may be
-    /// passed for a multiple of its run time.
+    /// How much earlier another entry's work must be due to get a slot before the queued
+    /// tasks and before the entry to which an outcome is sent anyway. A larger value saves
+    /// grant frames. Due times of jobs differ by seconds to minutes, since smaller jobs may
+    /// overtake a job for a multiple of its run time.
     pub slack: Duration,
-    /// How long a free slot waits for an outcome that can carry its credit, before a
-    /// grant frame of its own is sent. Larger saves frames and costs response time.
+    /// How long a free slot waits for an outcome that can carry its credit before a separate
+    /// grant frame is sent. A larger value saves frames and costs response time.
     pub piggyback_wait: Duration,
-    /// How long a credit keeps its slot free. The entry answers within a round trip
-    /// (1 ms to 2 ms) unless it is silent, and a silent one may not block slots.
+    /// How long a credit keeps its slot free. An entry uses it within a round trip (1 ms to
+    /// 2 ms); one that does not respond must not block slots.
     pub credit_lifetime: Duration,
-    /// How long a demand stays without being renewed. An entry renews it while it has
-    /// work waiting; one that lost its connection or its jobs does not.
+    /// How long a demand is valid without being renewed. An entry renews it while it has
+    /// waiting work; one that lost its connection or its jobs does not.
     pub demand_lifetime: Duration,
 }
 
@@ -46,27 +47,27 @@
         }
     }
 
-    /// With the effort that `weight` justifies.
+    /// Sets [`Self::slack`] by the objective.
     #[must_use]
-    pub const fn with_objective(mut self, weight: Objective) -> Self {
-        self.slack = match weight {
+    pub const fn with_objective(mut self, objective: Objective) -> Self {
+        self.slack = match objective {
             Objective::Messages => Duration::from_secs(100),
             Objective::Response => Duration::from_secs(5),
         };
         self
     }
 
-    /// With another `slack`.
+    /// Sets [`Self::slack`].
     #[must_use]
     pub const fn with_slack(mut self, slack: Duration) -> Self {
         self.slack = slack;
         self
     }
 
-    /// With another `patience`.
+    /// Sets [`Self::piggyback_wait`].
     #[must_use]
-    pub const fn with_piggyback_wait(mut self, patience: Duration) -> Self {
-        self.piggyback_wait = patience;
+    pub const fn with_piggyback_wait(mut self, wait: Duration) -> Self {
+        self.piggyback_wait = wait;
         self
     }
 }
