--- a/crates/cassiarock-policy/src/dispatch/dispatcher.rs
+++ b/crates/cassiarock-policy/src/dispatch/dispatcher.rs
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What is kept of an admitted job.
+/// What is stored about an admitted job.
 #[derive(Clone, Debug)]
 struct Admitted {
     due: Due,
@@ -23,9 +23,9 @@
 
 /// All decisions of one entry about one pool.
 ///
-/// It joins admission, placement, learned sizes, fault detection and the retry budget,
-/// so that an entry reports each event once. Call [`Self::poll`] after each batch of
-/// events and at [`Self::next_poll`].
+/// Combines admission control, placement, size estimates, fault detection and the retry
+/// budget, so that an entry reports each event only once. Call [`Self::poll`] after each batch
+/// of events and at [`Self::next_poll`].
 ///
 /// ```
 /// use cassiarock_id::{Job, Name, Process, Task, Wall};
@@ -48,50 +48,51 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     placer: Placer,
-    gate: AdmissionController,
+    admission: AdmissionController,
     monitor: Monitor,
-    estimate: Estimator,
-    budget: Budget,
-    fit: Capacities,
+    estimator: Estimator,
+    retries: Budget,
+    capacities: Capacities,
     slots: HashMap<Process, u16>,
     jobs: HashMap<Job, Admitted>,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no upstream. Entries use different seeds.
+    /// A dispatcher without upstreams. Each entry must use another seed.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             placer: Placer::new(settings.place, seed),
-            gate: AdmissionController::new(settings.admission, seed),
+            admission: AdmissionController::new(settings.admission, seed),
             monitor: Monitor::new(settings.health),
-            estimate: Estimator::default(),
-            budget: Budget::new(settings.retry, seed),
-            fit: Capacities::default(),
+            estimator: Estimator::default(),
+            retries: Budget::new(settings.retry, seed),
+            capacities: Capacities::default(),
             slots: HashMap::new(),
             jobs: HashMap::new(),
         }
     }
 
-    /// An upstream with the resources `has` can be reached, for the first time or again.
+    /// Adds an upstream with the resources `has` that can be reached, for the first time or
+    /// again.
     pub fn add(&mut self, upstream: Upstream, has: Resources) {
         let agent = upstream.agent.clone();
         self.slots.insert(agent.clone(), upstream.slots);
         self.count_slots();
-        self.fit.add(agent.clone(), has);
+        self.capacities.add(agent.clone(), has);
         self.monitor.add(agent.clone());
         self.placer.add(upstream);
         self.placer.set_share(&agent, self.monitor.share(&agent));
     }
 
-    /// An upstream is leaving: it gets no further task.
+    /// Marks an upstream as leaving: it gets no further task.
     pub fn start_leaving(&mut self, agent: &Process) {
         self.placer.start_leaving(agent);
         self.slots.remove(agent);
         self.count_slots();
     }
 
-    /// A leaving upstream stays after all.
+    /// Marks an upstream as staying again.
     pub fn cancel_leaving(&mut self, agent: &Process) {
         if let Some(slots) = self.placer.cancel_leaving(agent) {
             self.slots.insert(agent.clone(), slots);
@@ -105,44 +106,44 @@
         self.placer.load_percent()
     }
 
-    /// The connection to an upstream is gone. Returns the tasks that may have started
-    /// there. What was learned of it is kept for its return.
+    /// Removes an upstream whose connection is lost and returns the tasks that may have
+    /// started there. What was learned about it is kept for its return.
     pub fn disconnect(&mut self, agent: &Process) -> Vec<TaskKey> {
         self.slots.remove(agent);
         self.count_slots();
         self.placer.disconnect(agent)
     }
 
-    /// An upstream is gone for good, after [`Self::disconnect`].
+    /// Forgets an upstream that is gone permanently. Call [`Self::disconnect`] before.
     pub fn remove(&mut self, agent: &Process) {
         self.monitor.remove(agent);
-        self.fit.remove(agent);
+        self.capacities.remove(agent);
     }
 
-    /// The teams' weights and quotas, from the configuration.
+    /// Sets the teams' weights and quotas, from the configuration.
     pub fn set_teams(&mut self, shares: HashMap<Name, Share>) {
-        self.gate.set_teams(shares);
+        self.admission.set_teams(shares);
     }
 
-    /// Decides whether to admit a job. Nothing of it is sent before it is released.
+    /// Decides whether to admit a job. Its tasks are not sent before they are released.
     pub fn admit(&mut self, job: &Submission, now: Duration) -> Answer {
-        let learned = self.estimate.need(&job.kind);
-        if let Feasibility::Impossible(resource) = self.fit.check(&job.need, &learned) {
+        let learned = self.estimator.peak_usage(&job.kind);
+        if let Feasibility::Impossible(resource) = self.capacities.check(&job.need, &learned) {
             return Answer::Refuse {
                 reason: Reason::Impossible(resource),
                 retry_after: None,
             };
         }
-        let run = self.estimate.run_time(&job.kind, job.declared_run_time);
-        let offer = AdmissionRequest {
+        let run = self.estimator.run_time(&job.kind, job.declared_run_time);
+        let request = AdmissionRequest {
             job: job.job,
             team: job.team.clone(),
             task_count: job.task_count,
             work: run.saturating_mul(u32::try_from(job.task_count).unwrap_or(u32::MAX)),
             time_left: job.time_left,
         };
-        match self.gate.admit(&offer, now) {
-            admission::Answer::Admit(due) => self.keep(job, due),
+        match self.admission.admit(&request, now) {
+            admission::Answer::Admit(due) => self.record(job, due),
             admission::Answer::Refuse {
                 reason,
                 retry_after,
@@ -153,9 +154,9 @@
         }
     }
 
-    /// Tasks of a job may start, or may start again; `avoid` may run none of them.
+    /// Queues tasks of a job to be started, or started again, at any upstream but `avoid`.
     pub fn release(&mut self, job: Job, tasks: Vec<Task>, avoid: Option<Process>, now: Duration) {
-        // A job taken over from another entry was never offered here.
+        // A job taken over from another entry was not admitted at this one.
         let due = self.jobs.get(&job).map(|job| job.due);
         let due = due.unwrap_or_else(|| Due::new(now, Duration::ZERO));
         let mut job = place::ReadyTasks::new(job, due, tasks);
@@ -163,7 +164,7 @@
         self.placer.enqueue(job);
     }
 
-    /// A started task ended. `load` came with the frame, if any did.
+    /// Records the outcome of a started task. `load` is the report on the frame, if any.
     pub fn end(
         &mut self,
         agent: &Process,
@@ -180,18 +181,18 @@
         };
         self.monitor.record(agent, end);
         if matches!(end, health::Outcome::Done { .. }) {
-            self.budget.record_success();
-            self.gate.finish(key.job, 1);
+            self.retries.record_success();
+            self.admission.finish(key.job, 1);
         }
     }
 
-    /// How long to wait before a task is released again; `None` if it must not be.
+    /// How long to wait before a task is released again; `None` if it must not be retried.
     pub fn retry(&mut self, safety: RetrySafety, retry: u32) -> Option<Duration> {
-        self.budget.take(safety, retry)
+        self.retries.take(safety, retry)
     }
 
-    /// An agent proved that it has not started the task and will not; see
-    /// [`Placer::requeue`].
+    /// Queues a task again that an agent has proved not to have started and never to start;
+    /// see [`Placer::requeue`].
     pub fn requeue(
         &mut self,
         agent: &Process,
@@ -203,44 +204,42 @@
         self.placer.requeue(agent, key, elsewhere, load, now);
     }
 
-    /// An agent proved that it has not started the task and will not, and the job's owner
-    /// decides whether it is released again.
+    /// Ends the placement of a task that an agent has proved not to have started and never to
+    /// start. The job's owner decides whether it is released again.
     pub fn reject(&mut self, agent: &Process, key: &TaskKey, load: LoadReport, now: Duration) {
         self.placer.end(agent, key, Some(load), now);
     }
 
-    /// Takes back what was released of a job and has not been sent; the job stays
-    /// admitted.
+    /// Removes the tasks of a job that were released and not sent. The job stays admitted.
     pub fn withdraw(&mut self, job: Job) -> Vec<Task> {
         self.placer.cancel(job)
     }
 
-    /// A task of a start action was not sent after all; see [`Placer::undo_start`].
+    /// Takes back a task of a start action that was not sent; see [`Placer::undo_start`].
     pub fn undo_start(&mut self, agent: &Process, key: &TaskKey, wanted: bool) {
         self.placer.undo_start(agent, key, wanted);
     }
 
-    /// A grant frame came.
+    /// Takes in a load report and its credits, from a grant or another frame.
     pub fn grant(&mut self, agent: &Process, load: LoadReport, now: Duration) {
         self.placer.grant(agent, load, now);
     }
 
-    /// The job has its answer, or nobody waits for it any more. Returns its tasks that
-    /// were never sent.
+    /// Removes a job that is answered or cancelled and returns its tasks that were not sent.
     pub fn finish(&mut self, job: Job) -> Vec<Task> {
         self.jobs.remove(&job);
-        self.gate.drop_job(job);
+        self.admission.drop_job(job);
         self.placer.cancel(job)
     }
 
-    /// Admitted jobs that can no longer end before their deadline: fail them now, rather
-    /// than use slots for them.
+    /// Admitted jobs that can no longer end before their deadline. Fail them now rather than
+    /// use slots for them.
     #[must_use]
     pub fn infeasible_jobs(&self, now: Duration) -> Vec<Job> {
-        self.gate.infeasible_jobs(now)
+        self.admission.infeasible_jobs(now)
     }
 
-    /// What to send now.
+    /// Returns what to send now.
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
         if now >= self.monitor.next_evaluation() {
             for (agent, share) in self.monitor.evaluate(now) {
@@ -250,54 +249,54 @@
         self.placer.poll(now)
     }
 
-    /// When [`Self::poll`] has to be called at the latest, if no event comes before.
+    /// When to call [`Self::poll`] at the latest if no event comes before.
     #[must_use]
     pub fn next_poll(&self) -> Option<Duration> {
         if self.slots.is_empty() {
             return self.placer.next_poll();
         }
-        let judge = self.monitor.next_evaluation();
+        let evaluation = self.monitor.next_evaluation();
         Some(
             self.placer
                 .next_poll()
-                .map_or(judge, |wake| wake.min(judge)),
+                .map_or(evaluation, |poll| poll.min(evaluation)),
         )
     }
 
-    /// What to tell the other entries about once a second; empty if nothing is new.
+    /// The usage to send to the other entries about once a second; empty if nothing changed.
     pub fn usage_updates(&mut self) -> Vec<Usage> {
-        self.gate.usage_updates()
+        self.admission.usage_updates()
     }
 
-    /// What another entry told.
+    /// Charges the usage that another entry sent.
     pub fn apply_usage(&mut self, entry: &Process, usages: &[Usage], now: Duration) {
-        self.gate.apply_usage(entry, usages, now);
+        self.admission.apply_usage(entry, usages, now);
     }
 
-    /// Another entry is gone.
+    /// Forgets the usage reported by an entry that is gone.
     pub fn remove_entry(&mut self, entry: &Process) {
-        self.gate.remove_entry(entry);
+        self.admission.remove_entry(entry);
     }
 
-    /// The share of its slots that an upstream may have, 0 to 1.
+    /// The share of its slots that an upstream may use, 0 to 1.
     #[must_use]
     pub fn share(&self, agent: &Process) -> f64 {
         self.monitor.share(agent)
     }
 
-    /// How many tasks wait here.
+    /// How many tasks wait in the queue.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.placer.waiting()
     }
 
-    /// How many tasks are at upstreams.
+    /// How many tasks were sent to upstreams and have not ended.
     #[must_use]
     pub fn outstanding(&self) -> usize {
         self.placer.outstanding()
     }
 
-    fn keep(&mut self, job: &Submission, due: Due) -> Answer {
+    fn record(&mut self, job: &Submission, due: Due) -> Answer {
         let admitted = Admitted {
             due,
             kind: job.kind.clone(),
@@ -311,13 +310,13 @@
         let Some(job) = self.jobs.get(&job) else {
             return health::Outcome::Done { slowness: 1.0 };
         };
-        let slowness = self.estimate.slowness(&job.kind, job.declared, ran);
-        self.estimate.learn(&job.kind, job.declared, ran);
+        let slowness = self.estimator.slowness(&job.kind, job.declared, ran);
+        self.estimator.learn(&job.kind, job.declared, ran);
         health::Outcome::Done { slowness }
     }
 
     fn count_slots(&mut self) {
         let slots = self.slots.values().map(|slots| usize::from(*slots)).sum();
-        self.gate.set_slots(slots);
+        self.admission.set_slots(slots);
     }
 }
--- a/crates/cassiarock-policy/src/dispatch/mod.rs
+++ b/crates/cassiarock-policy/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! All decisions of an entry about one pool of upstreams, put together.
+//! The dispatcher, which combines all decisions of an entry about one pool of upstreams.
 
 mod dispatcher;
 mod settings;
--- a/crates/cassiarock-policy/src/dispatch/settings.rs
+++ b/crates/cassiarock-policy/src/dispatch/settings.rs
@@ -11,22 +11,22 @@
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Of placement.
+    /// Settings of placement.
     pub place: place::Settings,
-    /// Of admission.
+    /// Settings of admission control.
     pub admission: admission::Settings,
-    /// Of fault detection.
+    /// Settings of fault detection.
     pub health: health::Settings,
-    /// Of retries.
+    /// Settings of the retry budget.
     pub retry: retry::Settings,
 }
 
 impl Settings {
-    /// The defaults for a policy and a weight.
+    /// The defaults for a policy and an objective.
     #[must_use]
-    pub fn new(kind: PlacementPolicy, weight: Objective) -> Self {
+    pub fn new(policy: PlacementPolicy, objective: Objective) -> Self {
         Self {
-            place: place::Settings::new(kind).with_objective(weight),
+            place: place::Settings::new(policy).with_objective(objective),
             admission: admission::Settings::default(),
             health: health::Settings::default(),
             retry: retry::Settings::default(),
--- a/crates/cassiarock-policy/src/dispatch/submission.rs
+++ b/crates/cassiarock-policy/src/dispatch/submission.rs
@@ -1,4 +1,4 @@
-//! What an entry submits to its dispatcher, and what it is told.
+//! What an entry submits to its dispatcher, and the answers.
 
 use crate::admission;
 use crate::size::{ResourceKind, Resources};
@@ -18,7 +18,7 @@
 pub struct Submission {
     /// The job.
     pub job: Job,
-    /// Whose quota it uses.
+    /// The team whose quota it uses.
     pub team: Name,
     /// The kind of its tasks.
     pub kind: Name,
@@ -47,21 +47,21 @@
         }
     }
 
-    /// With a declared run time per task.
+    /// Sets [`Self::declared_run_time`].
     #[must_use]
     pub const fn with_declared_run_time(mut self, run_time: Duration) -> Self {
         self.declared_run_time = Some(run_time);
         self
     }
 
-    /// With a declared need per task.
+    /// Sets [`Self::need`].
     #[must_use]
     pub const fn with_need(mut self, need: Resources) -> Self {
         self.need = need;
         self
     }
 
-    /// With a deadline.
+    /// Sets [`Self::time_left`].
     #[must_use]
     pub const fn with_deadline(mut self, time_left: Duration) -> Self {
         self.time_left = Some(time_left);
@@ -72,13 +72,13 @@
 /// Whether a submission is admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// It is; release its tasks once they may start.
+    /// It is admitted. Release its tasks once they may start.
     Admit,
-    /// It is not, and nothing of it was sent.
+    /// It is refused, and none of its tasks was sent.
     Refuse {
-        /// Why.
+        /// Why it is refused.
         reason: Reason,
-        /// When the caller may try again; `None` if that is in vain.
+        /// After how long the caller may try again; `None` if a retry cannot succeed.
         retry_after: Option<Duration>,
     },
 }
@@ -86,7 +86,7 @@
 /// Why a submission is refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// Too much work for now.
+    /// There is too much work at present.
     Load(admission::Reason),
     /// No upstream of the pool has enough of the resource.
     Impossible(ResourceKind),
@@ -110,6 +110,6 @@
     Done(Duration),
     /// The worker failed it.
     Failed,
-    /// Its end is not known.
+    /// Its outcome is unknown.
     Lost,
 }
--- a/crates/cassiarock-policy/src/health/monitor.rs
+++ b/crates/cassiarock-policy/src/health/monitor.rs
@@ -1,4 +1,4 @@
-//! The judgement of upstreams by their outcomes.
+//! Detection of faulty upstreams by the outcomes of their tasks.
 
 use super::Settings;
 use super::record::{Outcome, Record};
@@ -6,27 +6,27 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How much more often than the others an upstream must fail.
-const FAILS_MORE: f64 = 2.0;
+/// How many times the median failure rate a faulty upstream must exceed.
+const FAILURE_RATIO: f64 = 2.0;
 
-/// Failures in a row that are judged at once: an upstream that fails a task in a
-/// millisecond would fail hundreds until the next regular judgement.
-const STREAK: u32 = 6;
+/// Consecutive failures that trigger an evaluation at once. An upstream that fails a task
+/// within a millisecond would fail hundreds until the next regular evaluation.
+const URGENT_STREAK: u32 = 6;
 
-/// An upstream that is judged faulty.
+/// An upstream found faulty.
 struct Fault {
     agent: Process,
-    /// Whether it fails tasks, rather than being slow.
-    fails: bool,
-    badness: f64,
+    /// Whether it fails tasks rather than being slow.
+    is_failing: bool,
+    severity: f64,
 }
 
-/// Judges upstreams and says which share of its slots each may have.
+/// Decides which share of its slots each upstream may use.
 ///
-/// Made for upstreams that fail everything at once, and so always look free: they would
-/// draw most of the load. Those lose their share at once; slow ones lose it by halves.
-/// After a pause one slot is tried, then the share doubles with each good judgement.
-/// The share withheld in all is bounded.
+/// An upstream that fails every task at once always seems free and would attract most of
+/// the load. It loses its share at once; a slow upstream loses it by halves. After a pause
+/// one slot is tried, then the share doubles with each evaluation that finds the upstream
+/// healthy. The share withheld in total is bounded.
 ///
 /// ```
 /// use cassiarock_id::Process;
@@ -47,71 +47,71 @@
 pub struct Monitor {
     settings: Settings,
     records: BTreeMap<Process, Record>,
-    judged_at: Option<Duration>,
+    evaluated_at: Option<Duration>,
     is_urgent: bool,
 }
 
 impl Monitor {
-    /// A monitor that knows no upstream.
+    /// A monitor without upstreams.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
             records: BTreeMap::new(),
-            judged_at: None,
+            evaluated_at: None,
             is_urgent: false,
         }
     }
 
-    /// An upstream announced itself.
+    /// Adds an upstream; one that is known keeps its record.
     pub fn add(&mut self, agent: Process) {
         let record = Record::new(&self.settings);
         self.records.entry(agent).or_insert(record);
     }
 
-    /// An upstream is gone for good.
+    /// Removes an upstream that is gone permanently.
     pub fn remove(&mut self, agent: &Process) {
         self.records.remove(agent);
     }
 
-    /// A task ended at `agent`. Rejects are no ends.
+    /// Records the outcome of a task at `agent`. A reject is not an outcome.
     pub fn record(&mut self, agent: &Process, end: Outcome) {
         if let Some(record) = self.records.get_mut(agent) {
             record.add(end);
-            self.is_urgent |= record.streak == STREAK;
+            self.is_urgent |= record.streak == URGENT_STREAK;
         }
     }
 
-    /// The share of its slots that `agent` may have, 0 to 1.
+    /// The share of its slots that `agent` may use, 0 to 1.
     #[must_use]
     pub fn share(&self, agent: &Process) -> f64 {
         self.records.get(agent).map_or(1.0, |record| record.share)
     }
 
-    /// When [`Self::evaluate`] has to be called next; at once if an upstream fails one task
-    /// after the other.
+    /// When to call [`Self::evaluate`] next; at once if an upstream fails one task after
+    /// another.
     #[must_use]
     pub fn next_evaluation(&self) -> Duration {
         if self.is_urgent {
             return Duration::ZERO;
         }
-        let judged = self.judged_at.unwrap_or_default();
-        judged + self.settings.evaluation_interval
+        let evaluated = self.evaluated_at.unwrap_or_default();
+        evaluated + self.settings.evaluation_interval
     }
 
-    /// Judges all upstreams; returns the shares that changed.
+    /// Evaluates all upstreams and returns the shares that changed.
     pub fn evaluate(&mut self, now: Duration) -> Vec<(Process, f64)> {
-        let last = self.judged_at;
+        let last = self.evaluated_at;
         let is_early = last.is_some_and(|last| now < last + self.settings.evaluation_interval);
         if is_early && !self.is_urgent {
             return Vec::new();
         }
         self.is_urgent = false;
-        self.judged_at = Some(now);
+        self.evaluated_at = Some(now);
         let before: Vec<f64> = self.records.values().map(|record| record.share).collect();
         let faults = self.faults();
-        self.raise_the_good(&faults, now);
-        self.lower_the_faulty(faults, now);
+        self.raise_healthy(&faults, now);
+        self.lower_faulty(faults, now);
         let changed = self.records.iter().zip(before);
         changed
             .filter(|((_, record), before)| record.share.total_cmp(before).is_ne())
@@ -119,54 +119,57 @@
             .collect()
     }
 
+    /// The faulty upstreams, the most severe fault first.
     fn faults(&self) -> Vec<Fault> {
         let median_slowness = median(self.records.values().map(|record| record.slowness));
-        let median_failing = median(self.records.values().map(|record| record.failing));
+        let median_failure_rate = median(self.records.values().map(|record| record.failure_rate));
         let records = self.records.iter();
-        let judged = records.filter(|(_, record)| {
-            record.is_proved(&self.settings) || record.is_failing_now(STREAK)
+        let candidates = records.filter(|(_, record)| {
+            record.has_enough_samples(&self.settings) || record.is_failing_now(URGENT_STREAK)
         });
-        let faults = judged.filter_map(|(agent, record)| {
-            let fails = record.failing > self.settings.max_failure_rate
-                && record.failing > FAILS_MORE * median_failing;
+        let faults = candidates.filter_map(|(agent, record)| {
+            let is_failing = record.failure_rate > self.settings.max_failure_rate
+                && record.failure_rate > FAILURE_RATIO * median_failure_rate;
             let slowness = (record.slowness - median_slowness).exp();
-            let badness = if fails { f64::INFINITY } else { slowness };
-            (fails || slowness > self.settings.straggler_factor).then(|| Fault {
+            let severity = if is_failing { f64::INFINITY } else { slowness };
+            (is_failing || slowness > self.settings.straggler_factor).then(|| Fault {
                 agent: agent.clone(),
-                fails,
-                badness,
+                is_failing,
+                severity,
             })
         });
         let mut faults: Vec<Fault> = faults.collect();
-        faults.sort_by(|a, b| b.badness.total_cmp(&a.badness));
+        faults.sort_by(|a, b| b.severity.total_cmp(&a.severity));
         faults
     }
 
-    /// Gives more to upstreams that are clearly good. Between good and faulty nothing
-    /// changes, else a share would go up and down with the noise.
-    fn raise_the_good(&mut self, faults: &[Fault], now: Duration) {
+    /// Raises the shares of upstreams that are clearly healthy. Between healthy and faulty a
+    /// share stays as it is, since it would otherwise oscillate with the noise.
+    fn raise_healthy(&mut self, faults: &[Fault], now: Duration) {
         let median = median(self.records.values().map(|record| record.slowness));
-        let good = self.settings.straggler_factor.ln() / 2.0;
+        let healthy_below = self.settings.straggler_factor.ln() / 2.0;
         for (agent, record) in &mut self.records {
             let is_faulty = faults.iter().any(|fault| fault.agent == *agent);
-            let is_good = !is_faulty && record.slowness - median < good;
-            let is_proved = record.share < 1.0 && record.is_proved(&self.settings);
-            if record.is_over(now) || (is_proved && is_good) {
+            let is_healthy = !is_faulty && record.slowness - median < healthy_below;
+            let has_enough_samples =
+                record.share < 1.0 && record.has_enough_samples(&self.settings);
+            if record.is_pause_over(now) || (has_enough_samples && is_healthy) {
                 record.raise(&self.settings);
             }
         }
     }
 
-    /// The worst first, until the bound on what is withheld.
-    fn lower_the_faulty(&mut self, faults: Vec<Fault>, now: Duration) {
+    /// Lowers the shares of faulty upstreams, the worst first, up to the bound on the share
+    /// withheld in total.
+    fn lower_faulty(&mut self, faults: Vec<Fault>, now: Duration) {
         let bound = self.records.len() as f64 * self.settings.max_withheld_share;
         for fault in faults {
             let withheld: f64 = self.records.values().map(|record| 1.0 - record.share).sum();
             let Some(record) = self.records.get_mut(&fault.agent) else {
                 continue;
             };
-            if withheld + record.next_loss(fault.fails) <= bound {
-                record.lower(fault.fails, &self.settings, now);
+            if withheld + record.next_reduction(fault.is_failing) <= bound {
+                record.lower(fault.is_failing, &self.settings, now);
             }
         }
     }
--- a/crates/cassiarock-policy/src/lib.rs
+++ b/crates/cassiarock-policy/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions under load: admit, queue, place, shift, refuse, retry.
+//! Scheduling decisions under load: admission, queueing, placement, fault detection and
+//! retries.
 //!
-//! Pure logic: state and event in, actions out. Nothing here does I/O, reads a clock or
-//! starts a thread; `now` is the time since the process started and is an argument.
+//! The logic is pure: events change state and return actions. Nothing here does I/O, reads a
+//! clock or starts a thread. `now` is an argument and is the time since the process started.
 
 pub mod admission;
 pub mod dispatch;
--- a/crates/cassiarock-policy/src/policy.rs
+++ b/crates/cassiarock-policy/src/policy.rs
@@ -1,9 +1,9 @@
-//! The placement policies that can be chosen.
+//! The available placement policies.
 
 use serde::{Deserialize, Serialize};
 
-/// How waiting tasks are bound to upstreams. Entries and agents of a pool use the same
-/// one; while a change of the settings spreads, an agent serves every kind of start.
+/// How waiting tasks are assigned to upstreams. All entries and agents of a pool use the same
+/// policy; while a change of the setting is rolled out, agents accept starts under any policy.
 ///
 /// ```
 /// use cassiarock_policy::PlacementPolicy;
@@ -13,22 +13,22 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementPolicy {
-    /// Each task goes to an upstream drawn at random and queues there.
+    /// Each task goes to a random upstream and queues there.
     Random,
-    /// Each task goes to the less loaded of two random upstreams, by the load last
-    /// heard, and queues there.
+    /// Each task goes to the less loaded of two random upstreams, by their last load reports,
+    /// and queues there.
     TwoChoices,
-    /// Entries reserve places at several random upstreams and bind a task only when an
-    /// upstream has a slot for it.
+    /// Entries demand slots of several random upstreams and send a task only when an upstream
+    /// has granted a slot for it.
     Probes,
-    /// Tasks wait at the entry; upstreams hand their free slots to entries as credits,
-    /// mostly on the outcomes that travel anyway.
+    /// Tasks wait at the entry. Upstreams grant their free slots to entries as credits, mostly
+    /// on outcome frames, which are sent anyway.
     #[default]
     Credits,
 }
 
 impl PlacementPolicy {
-    /// All kinds, in the order in which reports list them.
+    /// All policies, in the order in which reports list them.
     pub const ALL: [Self; 4] = [Self::Random, Self::TwoChoices, Self::Probes, Self::Credits];
 
     /// The name used in settings and reports.
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether a start that finds no free slot waits in the upstream's own queue.
+    /// Whether a task that finds no free slot waits in the upstream's own queue.
     #[must_use]
     pub const fn queues_at_upstream(self) -> bool {
         matches!(self, Self::Random | Self::TwoChoices)
--- a/crates/cassiarock-policy/src/retry/budget.rs
+++ b/crates/cassiarock-policy/src/retry/budget.rs
@@ -4,29 +4,29 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// What makes a second try safe.
+/// Whether a retry is safe, and why.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetrySafety {
     /// The agent that could have started the task proved that it did not and will not.
     NotStarted,
     /// The caller declared the request idempotent.
     Idempotent,
-    /// Nothing: the first try may have run.
+    /// It is not known to be safe: the first attempt may have run.
     Unproven,
 }
 
-/// The bounds of a [`Budget`].
+/// The settings of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Retries allowed per success. At a tenth, a total failure of all upstreams raises
-    /// the load by a tenth at most, where unbounded retries would multiply it.
+    /// Retries earned per success. At 0.1, a failure of all upstreams raises the load by at
+    /// most a tenth, whereas unbounded retries would multiply it.
     pub retries_per_success: f64,
-    /// Retries that may be saved up, and that a new entry has: enough for the tasks of
-    /// one upstream that dies.
+    /// Retries that may be saved up, and that a new entry starts with: enough for the tasks
+    /// of one upstream that dies.
     pub reserve: f64,
-    /// The longest wait before the first retry; doubles with each further one.
+    /// The longest wait before the first retry. It doubles with each further retry.
     pub base_delay: Duration,
-    /// The longest wait before any retry. Above it the caller's deadline decides.
+    /// The longest wait before any retry. Beyond it, the caller's deadline ends the retries.
     pub max_delay: Duration,
 }
 
@@ -41,12 +41,11 @@
     }
 }
 
-/// Counts successes and gives out retries.
+/// Grants retries in proportion to successes.
 ///
-/// Made for failures of many upstreams at once: retries are then most of the load and
-/// keep the rest from recovering. They are bounded to a share of the successes, and
-/// spread over time by full jitter, so that tasks which failed together do not come back
-/// together.
+/// When many upstreams fail at once, retries become most of the load and keep the others
+/// from recovering. The budget bounds them to a share of the successes, and full jitter
+/// spreads them over time, so that tasks that failed together are not retried together.
 ///
 /// ```
 /// use cassiarock_policy::retry::{Budget, RetrySafety, Settings};
@@ -57,36 +56,37 @@
 #[derive(Debug)]
 pub struct Budget {
     settings: Settings,
-    left: f64,
+    remaining: f64,
     rng: StdRng,
 }
 
 impl Budget {
-    /// A full budget.
+    /// A budget that starts with its full reserve.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            left: settings.reserve,
+            remaining: settings.reserve,
             settings,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// A task succeeded.
+    /// Earns a share of a retry for a task that succeeded.
     pub fn record_success(&mut self) {
-        self.left = (self.left + self.settings.retries_per_success).min(self.settings.reserve);
+        self.remaining =
+            (self.remaining + self.settings.retries_per_success).min(self.settings.reserve);
     }
 
-    /// How long to wait before retry number `retry` (0 is the first); `None` if there is
-    /// to be none, because it is not proved safe or the budget is used up.
+    /// Takes a retry from the budget. Returns how long to wait before retry number `retry`, of
+    /// which 0 is the first, or `None` if it is not known to be safe or the budget is used up.
     pub fn take(&mut self, safety: RetrySafety, retry: u32) -> Option<Duration> {
-        if safety == RetrySafety::Unproven || self.left < 1.0 {
+        if safety == RetrySafety::Unproven || self.remaining < 1.0 {
             return None;
         }
-        self.left -= 1.0;
+        self.remaining -= 1.0;
         let factor = 2_u32.saturating_pow(retry.min(16));
-        let longest = self.settings.base_delay.saturating_mul(factor);
-        let longest = longest.min(self.settings.max_delay);
-        Some(longest.mul_f64(self.rng.random()))
+        let max_delay = self.settings.base_delay.saturating_mul(factor);
+        let max_delay = max_delay.min(self.settings.max_delay);
+        Some(max_delay.mul_f64(self.rng.random()))
     }
 }
--- a/crates/cassiarock-policy/src/retry/mod.rs
+++ b/crates/cassiarock-policy/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Whether and when a task is tried again.
+//! Whether and when a task is retried.
 
 mod budget;
 
--- a/crates/cassiarock-policy/src/size/capacities.rs
+++ b/crates/cassiarock-policy/src/size/capacities.rs
@@ -4,25 +4,26 @@
 use cassiarock_id::Process;
 use std::collections::HashMap;
 
-/// How far declared amounts may be off. A task that declares up to this multiple of the
-/// largest upstream is tried, since it may well need a tenth of what it declares.
-const DISTRUST: u64 = 10;
+/// Tolerance for declared amounts. A task that declares up to this multiple of the largest
+/// upstream is tried, since it may need a tenth of what it declares.
+const DECLARED_MARGIN: u64 = 10;
 
-/// Whether a task fits some upstream.
+/// Whether a task fits any upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Feasibility {
-    /// It fits, or may.
+    /// It fits, or may fit.
     Fits,
-    /// No known upstream has enough of this resource: refuse the job, nothing has run.
+    /// No known upstream has enough of this resource; the job is to be refused before any of it
+    /// runs.
     Impossible(ResourceKind),
-    /// No upstream is known yet: wait.
+    /// No upstream is known yet, so the job has to wait.
     Unknown,
 }
 
-/// What the known upstreams have.
+/// The resources of the known upstreams.
 ///
-/// Made for jobs that can never run: in a queue they would take places until their
-/// deadline, and their callers would wait for nothing.
+/// Detects jobs that can never run. In a queue they would take up room until their deadline
+/// while their callers wait in vain.
 ///
 /// ```
 /// use cassiarock_id::Process;
@@ -40,28 +41,28 @@
 }
 
 impl Capacities {
-    /// An upstream with `has` announced itself.
+    /// Adds an upstream that announced the resources `has`.
     pub fn add(&mut self, agent: Process, has: Resources) {
         self.upstreams.insert(agent, has);
         self.largest = self.largest.max(has);
     }
 
-    /// An upstream is gone for good. One that is only out of reach stays: what it could
-    /// run it can run again.
+    /// Removes an upstream that is gone permanently. Keep one that is only unreachable, since
+    /// it can run the same tasks when it is back.
     pub fn remove(&mut self, agent: &Process) {
         self.upstreams.remove(agent);
         let all = self.upstreams.values();
         self.largest = all.fold(Resources::default(), |largest, has| largest.max(*has));
     }
 
-    /// Judges a task by what it declares and by the peak learned for its kind.
+    /// Checks the amounts that a task declares and the peak learned for its kind.
     #[must_use]
     pub fn check(&self, declared: &Resources, learned: &Resources) -> Feasibility {
         if self.upstreams.is_empty() {
             return Feasibility::Unknown;
         }
         let impossible = learned.exceeds(&self.largest, 1);
-        match impossible.or_else(|| declared.exceeds(&self.largest, DISTRUST)) {
+        match impossible.or_else(|| declared.exceeds(&self.largest, DECLARED_MARGIN)) {
             Some(resource) => Feasibility::Impossible(resource),
             None => Feasibility::Fits,
         }
--- a/crates/cassiarock-policy/src/size/mod.rs
+++ b/crates/cassiarock-policy/src/size/mod.rs
@@ -1,4 +1,5 @@
-//! What a task takes: its run time and its need, learned rather than believed.
+//! The run times and resource needs of tasks, learned from outcomes because declared values
+//! are unreliable.
 
 mod capacities;
 mod estimator;
--- a/crates/cassiarock-policy/src/size/resources.rs
+++ b/crates/cassiarock-policy/src/size/resources.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A resource.
+/// The kinds of resources.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ResourceKind {
     /// Processor time.
@@ -32,10 +32,10 @@
 }
 
 impl Resources {
-    /// More than any task needs: of an upstream that did not say what it has.
+    /// More than any task needs; for an upstream that did not announce its resources.
     pub const UNLIMITED: Self = Self::new(u64::MAX, u64::MAX, u64::MAX);
 
-    /// The given amounts.
+    /// Amounts of all resources.
     #[must_use]
     pub const fn new(milli_processors: u64, memory_mib: u64, accelerators: u64) -> Self {
         Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The larger amount of each resource.
+    /// The maximum of each resource.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The first resource of which this is more than `times` times `limit`.
+    /// The first resource whose amount exceeds `times` times that of `limit`.
     pub(super) fn exceeds(&self, limit: &Self, times: u64) -> Option<ResourceKind> {
         if self.milli_processors > limit.milli_processors.saturating_mul(times) {
             return Some(ResourceKind::Processor);
@@ -63,7 +63,7 @@
         if self.memory_mib > limit.memory_mib.saturating_mul(times) {
             return Some(ResourceKind::Memory);
         }
-        // Accelerators are counted, not estimated: a declared number is meant.
+        // Accelerators are counted, not estimated, so their declared number is exact.
         (self.accelerators > limit.accelerators).then_some(ResourceKind::Accelerator)
     }
 }
