--- a/crates/cassiarock-policy/examples/model.rs
+++ b/crates/cassiarock-policy/examples/model.rs
@@ -1,5 +1,5 @@
-//! Compares the policies in the discrete-event model of the tests and prints a table.
-//! The figures are of the model, not of running processes.
+//! Compares the policies in the discrete-event model of the tests and prints tables. The
+//! figures describe the model, not running processes.
 
 #[path = "../tests/model/mod.rs"]
 #[allow(dead_code, reason = "the tests and the example use different parts")]
@@ -8,8 +8,8 @@
 use cassiarock_policy::{Objective, PlacementPolicy};
 use model::load::{ANDES, ICELAND, Job, JobClass, arrivals};
 use model::reference::{Order, omniscient};
-use model::report::{Spread, goodput, ideals, means, over};
-use model::world::{End, Fault, Shape, World};
+use model::report::{Distribution, goodput, ideals, means, over};
+use model::simulation::{Fault, JobOutcome, Simulation, SimulationConfig};
 use std::time::Duration;
 
 const SLOTS: usize = 88;
@@ -17,9 +17,9 @@
 const SEEDS: u64 = 5;
 const LOADS: [f64; 5] = [0.5, 0.7, 0.9, 0.95, 1.3];
 
-/// One line of the table, over one seed.
+/// The results of one run with one seed.
 struct Line {
-    over_ideal: Spread,
+    over_ideal: Distribution,
     over_omniscient: f64,
     over_fifo: f64,
     over_same_order: f64,
@@ -30,44 +30,48 @@
 }
 
 /// A disturbance of a run at load 0.7.
-type Scenario = (&'static str, fn(&mut Vec<Job>), fn(World<'_>) -> World<'_>);
+type Scenario = (
+    &'static str,
+    fn(&mut Vec<Job>),
+    fn(Simulation<'_>) -> Simulation<'_>,
+);
 
 const SCENARIOS: [Scenario; 8] = [
-    ("none", |_| (), |world| world),
+    ("none", |_| (), |simulation| simulation),
     (
         "all at one entry",
         |jobs| jobs.iter_mut().for_each(|job| job.entry = 0),
-        |world| world,
+        |simulation| simulation,
     ),
     (
         "one upstream 5 times slower",
         |_| (),
-        |world| world.with_fault(BEGIN, 4, Fault::Slow(5.0)),
+        |simulation| simulation.with_fault(BEGIN, 4, Fault::Slow(5.0)),
     ),
     (
         "one upstream fails all",
         |_| (),
-        |world| world.with_fault(BEGIN, 4, Fault::Hole),
+        |simulation| simulation.with_fault(BEGIN, 4, Fault::BlackHole),
     ),
     (
         "half of all jobs cancelled 0.3 s after arrival",
         |_| (),
-        |world| world.with_half_cancelled(Duration::from_millis(300)),
+        |simulation| simulation.with_half_cancelled(Duration::from_millis(300)),
     ),
     (
         "all upstreams out of reach for 10 s",
         |_| (),
-        |world| world.with_outage(BEGIN, BEGIN + Duration::from_secs(10)),
+        |simulation| simulation.with_outage(BEGIN, BEGIN + Duration::from_secs(10)),
     ),
     (
         "declared 10 times too long",
         |jobs| declare(jobs, 10.0),
-        |world| world,
+        |simulation| simulation,
     ),
     (
         "declared 10 times too short",
         |jobs| declare(jobs, 0.1),
-        |world| world,
+        |simulation| simulation,
     ),
 ];
 
@@ -88,13 +92,13 @@
     header();
     for (name, mix, delay) in deployments {
         for load in LOADS {
-            for (policy, shape) in policies(delay) {
+            for (policy, config) in policies(delay) {
                 print(
                     &format!("{name} {load}"),
                     policy,
                     mix,
                     load,
-                    &shape,
+                    &config,
                     &SCENARIOS[0],
                 );
             }
@@ -103,13 +107,13 @@
     header();
     for (name, mix, delay) in deployments {
         for scenario in &SCENARIOS {
-            for (policy, shape) in policies(delay) {
+            for (policy, config) in policies(delay) {
                 print(
                     &format!("{name}: {}", scenario.0),
                     policy,
                     mix,
                     0.7,
-                    &shape,
+                    &config,
                     scenario,
                 );
             }
@@ -117,12 +121,13 @@
     }
 }
 
-fn policies(delay: Duration) -> Vec<(&'static str, Shape)> {
+fn policies(delay: Duration) -> Vec<(&'static str, SimulationConfig)> {
     let kinds = PlacementPolicy::ALL.iter();
     let mut policies: Vec<_> = kinds
-        .map(|kind| (kind.as_str(), Shape::new(*kind, delay)))
+        .map(|kind| (kind.as_str(), SimulationConfig::new(*kind, delay)))
         .collect();
-    let response = Shape::new(PlacementPolicy::Credits, delay).with_objective(Objective::Response);
+    let response =
+        SimulationConfig::new(PlacementPolicy::Credits, delay).with_objective(Objective::Response);
     policies.push(("credits, weight response", response));
     policies
 }
@@ -139,14 +144,14 @@
     policy: &str,
     mix: &[JobClass],
     load: f64,
-    shape: &Shape,
+    config: &SimulationConfig,
     scenario: &Scenario,
 ) {
     let lines: Vec<Line> = (0..SEEDS)
         .map(|seed| {
             let mut jobs = arrivals(mix, load, SLOTS, 3, 0.0, LENGTH, seed);
             scenario.1(&mut jobs);
-            line(&jobs, shape.clone(), scenario)
+            line(&jobs, config.clone(), scenario)
         })
         .collect();
     let column = |value: fn(&Line) -> f64| cell(lines.iter().map(value).collect());
@@ -166,16 +171,20 @@
     );
 }
 
-fn line(jobs: &[Job], shape: Shape, scenario: &Scenario) -> Line {
-    let mut world = scenario.2(World::new(shape, jobs));
-    world.run(LENGTH * 3);
-    let response = world.responses();
+fn line(jobs: &[Job], config: SimulationConfig, scenario: &Scenario) -> Line {
+    let mut simulation = scenario.2(Simulation::new(config, jobs));
+    simulation.run(LENGTH * 3);
+    let response = simulation.responses();
     let against = |order| {
         let (ours, theirs) = means(&response, &omniscient(jobs, SLOTS, order));
         ours / theirs
     };
-    let share = |wanted: End| {
-        let count = world.ends.iter().filter(|end| **end == wanted).count();
+    let share = |wanted: JobOutcome| {
+        let count = simulation
+            .outcomes
+            .iter()
+            .filter(|end| **end == wanted)
+            .count();
         count as f64 / jobs.len() as f64
     };
     Line {
@@ -183,14 +192,14 @@
         over_omniscient: against(Order::Least),
         over_fifo: against(Order::Arrival),
         over_same_order: against(Order::Due),
-        wasted: world.count.wasted() as f64 / world.count.done.max(1) as f64,
-        refused: share(End::Refused),
-        failed: share(End::Failed),
+        wasted: simulation.counts.extra_messages() as f64 / simulation.counts.done.max(1) as f64,
+        refused: share(JobOutcome::Refused),
+        failed: share(JobOutcome::Failed),
         goodput: goodput(jobs, &response, SLOTS, (LENGTH / 4, LENGTH)),
     }
 }
 
-/// The median of the seeds and their range.
+/// The median over all seeds, and their range.
 fn cell(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let last = values.len() - 1;
--- a/crates/cassiarock-policy/tests/admit.rs
+++ b/crates/cassiarock-policy/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Admission, job by job.
+//! Admission control, job by job.
 
 use cassiarock_id::{Job, Name, Process, Wall};
 use cassiarock_policy::admission::{
@@ -11,7 +11,7 @@
     Duration::from_secs(seconds)
 }
 
-fn offer(bits: u64, team: &str, tasks: usize, work: Duration) -> AdmissionRequest {
+fn request(bits: u64, team: &str, tasks: usize, work: Duration) -> AdmissionRequest {
     AdmissionRequest::new(
         Job::with_bits(Wall::from_millis(1), bits),
         Name::from(team),
@@ -20,10 +20,10 @@
     )
 }
 
-fn gate(setting: Settings) -> AdmissionController {
-    let mut gate = AdmissionController::new(setting, 1);
-    gate.set_slots(88);
-    gate
+fn controller(setting: Settings) -> AdmissionController {
+    let mut controller = AdmissionController::new(setting, 1);
+    controller.set_slots(88);
+    controller
 }
 
 fn reason(answer: Answer) -> Option<Reason> {
@@ -35,45 +35,45 @@
 
 #[test]
 fn a_job_that_cannot_end_in_time_is_refused_when_it_arrives() {
-    let mut gate = gate(Settings::default());
-    let job = offer(1, "a", 860, secs(860)).with_deadline(secs(5));
-    assert_eq!(reason(gate.admit(&job, secs(1))), Some(Reason::Late));
-    let job = offer(1, "a", 860, secs(860)).with_deadline(secs(30));
-    assert_eq!(reason(gate.admit(&job, secs(1))), None);
+    let mut controller = controller(Settings::default());
+    let job = request(1, "a", 860, secs(860)).with_deadline(secs(5));
+    assert_eq!(reason(controller.admit(&job, secs(1))), Some(Reason::Late));
+    let job = request(1, "a", 860, secs(860)).with_deadline(secs(30));
+    assert_eq!(reason(controller.admit(&job, secs(1))), None);
 }
 
 #[test]
 fn a_small_job_is_admitted_while_large_ones_wait() {
-    let mut gate = gate(Settings::default());
+    let mut controller = controller(Settings::default());
     for bits in 0..3 {
-        gate.admit(&offer(bits, "a", 860, secs(600)), secs(1));
+        controller.admit(&request(bits, "a", 860, secs(600)), secs(1));
     }
-    let job = offer(9, "a", 1, Duration::from_millis(100)).with_deadline(secs(2));
-    assert_eq!(reason(gate.admit(&job, secs(1))), None);
+    let job = request(9, "a", 1, Duration::from_millis(100)).with_deadline(secs(2));
+    assert_eq!(reason(controller.admit(&job, secs(1))), None);
 }
 
 #[test]
-fn the_bound_on_tasks_holds_and_ended_tasks_make_room() {
-    let mut gate = gate(Settings::default().with_max_tasks(100));
+fn the_limit_on_tasks_holds_and_ended_tasks_free_it() {
+    let mut controller = controller(Settings::default().with_max_tasks(100));
     assert_eq!(
-        reason(gate.admit(&offer(1, "a", 100, secs(1)), secs(1))),
+        reason(controller.admit(&request(1, "a", 100, secs(1)), secs(1))),
         None
     );
-    let next = offer(2, "a", 1, secs(1));
-    assert_eq!(reason(gate.admit(&next, secs(1))), Some(Reason::Full));
-    gate.finish(offer(1, "a", 0, secs(0)).job, 1);
-    assert_eq!(reason(gate.admit(&next, secs(1))), None);
-    assert_eq!(gate.tasks(), 100);
+    let next = request(2, "a", 1, secs(1));
+    assert_eq!(reason(controller.admit(&next, secs(1))), Some(Reason::Full));
+    controller.finish(request(1, "a", 0, secs(0)).job, 1);
+    assert_eq!(reason(controller.admit(&next, secs(1))), None);
+    assert_eq!(controller.tasks(), 100);
 }
 
-// Refused callers all come back after the same second, are refused together, and so on;
-// between their visits the pool is idle.
+// Guards against refused callers that all retry after the same time and are refused together
+// again and again, while the pool is idle in between.
 #[test]
-fn refused_callers_are_told_to_come_back_at_different_times() {
-    let mut gate = gate(Settings::default().with_default_deadline(secs(1)));
+fn refused_callers_are_told_different_retry_times() {
+    let mut controller = controller(Settings::default().with_default_deadline(secs(1)));
     let mut waits: Vec<Duration> = (0..200)
         .filter_map(
-            |bits| match gate.admit(&offer(bits, "a", 200, secs(200)), secs(1)) {
+            |bits| match controller.admit(&request(bits, "a", 200, secs(200)), secs(1)) {
                 Answer::Refuse { retry_after, .. } => Some(retry_after),
                 Answer::Admit(_) => None,
             },
@@ -82,14 +82,15 @@
     waits.sort();
     let (first, last) = (waits[0], waits[waits.len() - 1]);
     assert!(last > first + secs(10), "{first:?} {last:?}");
-    let most = waits
+    let crowded = waits
         .windows(40)
-        .filter(|few| few[39] - few[0] < Duration::from_millis(500));
-    assert_eq!(most.count(), 0);
+        .filter(|window| window[39] - window[0] < Duration::from_millis(500));
+    assert_eq!(crowded.count(), 0);
 }
 
-// A team with a quota of ten slots submits through three entries at once. Each admits
-// its whole quota, unless it learns what the others have admitted.
+// Guards against a team getting its quota once per entry. It has a quota of ten slots and
+// submits through three entries at once; each would admit the whole quota if it did not learn
+// what the others have admitted.
 #[test]
 fn entries_enforce_a_quota_together() {
     let share = Share {
@@ -99,44 +100,46 @@
     let names: Vec<Process> = (0..3)
         .map(|i| Process::new(format!("entry-{i}"), 1))
         .collect();
-    let mut gates: Vec<AdmissionController> = (0..3).map(|_| gate(Settings::default())).collect();
+    let mut controllers: Vec<AdmissionController> =
+        (0..3).map(|_| controller(Settings::default())).collect();
     let shares = HashMap::from([(Name::from("a"), share)]);
-    gates
+    controllers
         .iter_mut()
-        .for_each(|gate| gate.set_teams(shares.clone()));
+        .for_each(|controller| controller.set_teams(shares.clone()));
     let mut admitted = 0;
     for tenth in 0..600_u64 {
         let now = Duration::from_millis(100 * tenth);
-        for (index, gate) in gates.iter_mut().enumerate() {
-            let job = offer(tenth * 3 + index as u64, "a", 10, secs(1));
-            if reason(gate.admit(&job, now)).is_none() {
+        for (index, controller) in controllers.iter_mut().enumerate() {
+            let job = request(tenth * 3 + index as u64, "a", 10, secs(1));
+            if reason(controller.admit(&job, now)).is_none() {
                 admitted += 1;
-                gate.finish(job.job, 10);
+                controller.finish(job.job, 10);
             }
         }
         if tenth % 10 == 0 {
-            let news: Vec<_> = gates
+            let updates: Vec<_> = controllers
                 .iter_mut()
                 .map(AdmissionController::usage_updates)
                 .collect();
-            for (index, gate) in gates.iter_mut().enumerate() {
+            for (index, controller) in controllers.iter_mut().enumerate() {
                 for other in (0..3).filter(|other| *other != index) {
-                    gate.apply_usage(&names[other], &news[other], now);
+                    controller.apply_usage(&names[other], &updates[other], now);
                 }
             }
         }
     }
-    // Sixty seconds at ten slots, a burst of ten seconds, and what a second can hide.
+    // 60 s at ten slots are 600 jobs, the burst of 10 s adds 100, and the entries can admit some
+    // more during the second between two exchanges.
     assert!((600..=760).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn a_job_whose_deadline_is_out_of_reach_is_named() {
-    let mut gate = gate(Settings::default());
-    let job = offer(1, "a", 860, secs(860)).with_deadline(secs(30));
-    gate.admit(&job, secs(1));
-    assert!(gate.infeasible_jobs(secs(10)).is_empty());
-    assert_eq!(gate.infeasible_jobs(secs(25)), [job.job]);
-    gate.drop_job(job.job);
-    assert!(gate.infeasible_jobs(secs(25)).is_empty());
+fn a_job_that_can_no_longer_meet_its_deadline_is_reported() {
+    let mut controller = controller(Settings::default());
+    let job = request(1, "a", 860, secs(860)).with_deadline(secs(30));
+    controller.admit(&job, secs(1));
+    assert!(controller.infeasible_jobs(secs(10)).is_empty());
+    assert_eq!(controller.infeasible_jobs(secs(25)), [job.job]);
+    controller.drop_job(job.job);
+    assert!(controller.infeasible_jobs(secs(25)).is_empty());
 }
--- a/crates/cassiarock-policy/tests/cost.rs
+++ b/crates/cassiarock-policy/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What a placement costs as the pool grows.
+//! The cost of a placement as the pool grows.
 
 use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::LoadReport;
@@ -9,8 +9,8 @@
 
 const STEPS: u64 = 20_000;
 
-/// An entry in steady state, seven of ten slots in use.
-struct Desk {
+/// An entry in steady state with 70% of the slots in use.
+struct SteadyEntry {
     placer: Placer,
     running: VecDeque<(Process, TaskKey)>,
     seen: Vec<(u32, u16)>,
@@ -19,22 +19,22 @@
     placing: Duration,
 }
 
-impl Desk {
+impl SteadyEntry {
     fn new(upstreams: usize) -> Self {
         let mut placer = Placer::new(Settings::new(PlacementPolicy::Credits), 1);
         for index in 0..upstreams {
             let agent = Process::new(format!("agent-{index}"), 1);
             placer.add(Upstream::new(agent, 8));
         }
-        let mut desk = Self {
+        let mut entry = Self {
             placer,
             running: VecDeque::new(),
             seen: vec![(0, 0); upstreams],
             next: 0,
             placing: Duration::ZERO,
         };
-        (0..upstreams * 56 / 10).for_each(|_| desk.start());
-        desk
+        (0..upstreams * 56 / 10).for_each(|_| entry.start());
+        entry
     }
 
     fn start(&mut self) {
@@ -50,7 +50,7 @@
             let Action::Start { agent, tasks, .. } = action else {
                 continue;
             };
-            let (seen, running) = &mut self.seen[number(&agent)];
+            let (seen, running) = &mut self.seen[index_of(&agent)];
             *seen += 1;
             *running += 1;
             self.running.push_back((agent, tasks[0].key));
@@ -59,7 +59,7 @@
 
     fn step(&mut self) {
         if let Some((agent, key)) = self.running.pop_front() {
-            let (seen, running) = &mut self.seen[number(&agent)];
+            let (seen, running) = &mut self.seen[index_of(&agent)];
             *running -= 1;
             let load = LoadReport {
                 open: 8_u16.saturating_sub(*running),
@@ -72,7 +72,8 @@
         self.start();
     }
 
-    /// The cost of a decision, and of a whole step with an outcome and an admission.
+    /// The time in nanoseconds of a placement decision, and of a whole step with an outcome and
+    /// a new task.
     fn cost(&mut self) -> (f64, f64) {
         self.placing = Duration::ZERO;
         let begin = Instant::now();
@@ -82,19 +83,19 @@
     }
 }
 
-/// Decision and step at few and at many upstreams.
+/// The costs of a decision and of a step, with few and with many upstreams.
 type Round = ((f64, f64), (f64, f64));
 
-/// The index in an agent's name. A map of them would cost more at more upstreams.
-fn number(agent: &Process) -> usize {
+/// The index in an agent's name. A lookup in a map would cost more with more upstreams.
+fn index_of(agent: &Process) -> usize {
     let digits = agent.name.rsplit('-').next();
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
 #[test]
 fn a_placement_at_2900_upstreams_costs_at_most_twice_that_at_29() {
-    let (mut few, mut many) = (Desk::new(29), Desk::new(2900));
-    // Other processes disturb single rounds; the best of several is the cost.
+    let (mut few, mut many) = (SteadyEntry::new(29), SteadyEntry::new(2900));
+    // Other processes disturb single rounds, so the best of several is used.
     let rounds: Vec<Round> = (0..9).map(|_| (few.cost(), many.cost())).collect();
     let best = |cost: fn(&Round) -> f64| rounds.iter().map(cost).fold(f64::INFINITY, f64::min);
     let (few, many) = (best(|round| round.0.0), best(|round| round.1.0));
--- a/crates/cassiarock-policy/tests/health.rs
+++ b/crates/cassiarock-policy/tests/health.rs
@@ -1,4 +1,4 @@
-//! Fault detection, outcome by outcome.
+//! Fault detection by outcomes.
 
 use cassiarock_id::Process;
 use cassiarock_policy::health::{Monitor, Outcome, Settings};
@@ -10,13 +10,14 @@
     Process::new(format!("agent-{index:02}"), 1)
 }
 
-/// Eleven upstreams for `seconds`, twenty outcomes each a second, faulty by `end`.
-fn run(monitor: &mut Monitor, from: u64, seconds: u64, end: impl Fn(usize) -> Outcome) {
+/// Records twenty outcomes a second for each of eleven upstreams, as `outcome` returns them, for
+/// `seconds` from second `from`. Upstreams without a share have none.
+fn run(monitor: &mut Monitor, from: u64, seconds: u64, outcome: impl Fn(usize) -> Outcome) {
     for tick in 0..seconds * 10 {
         for index in 0..11 {
             let runs = monitor.share(&agent(index)) > 0.0;
             for _ in 0..if runs { 2 } else { 0 } {
-                monitor.record(&agent(index), end(index));
+                monitor.record(&agent(index), outcome(index));
             }
         }
         monitor.evaluate(Duration::from_secs(from) + Duration::from_millis(100 * tick));
@@ -37,23 +38,23 @@
 
 #[yare::parameterized(
     fails_everything = { Outcome::Failed },
-    is_not_heard_of = { Outcome::Lost },
+    loses_every_outcome = { Outcome::Lost },
     is_four_times_slower = { Outcome::Done { slowness: 4.0 } },
 )]
-fn a_faulty_upstream_loses_its_share_and_no_other_does(end: Outcome) {
+fn a_faulty_upstream_loses_its_share_and_no_other_does(outcome: Outcome) {
     let mut monitor = monitor();
     run(
         &mut monitor,
         0,
         4,
-        |index| if index == 3 { end } else { GOOD },
+        |index| if index == 3 { outcome } else { GOOD },
     );
     assert!(monitor.share(&agent(3)) < 0.2);
     assert_eq!(withheld(&monitor), 1.0 - monitor.share(&agent(3)));
 }
 
 #[test]
-fn a_mended_upstream_is_back_in_full_within_half_a_minute() {
+fn a_repaired_upstream_has_its_full_share_again_within_half_a_minute() {
     let mut monitor = monitor();
     run(&mut monitor, 0, 3, |index| {
         if index == 3 { Outcome::Failed } else { GOOD }
@@ -62,8 +63,8 @@
     assert_eq!(withheld(&monitor), 0.0);
 }
 
-// Operators see an empty pool: a kind of task begins to fail on most upstreams, the
-// detector takes them for faulty, and what is left cannot carry the load.
+// Guards against fault detection withholding most of the pool. When a kind of task starts to
+// fail at most upstreams, these seem faulty, and the rest could not carry the load.
 #[yare::parameterized(two = { 2 }, five = { 5 }, eight = { 8 }, all = { 11 })]
 fn at_most_the_bound_is_withheld(faulty: usize) {
     let mut monitor = monitor();
@@ -77,10 +78,10 @@
     assert!(withheld(&monitor) <= 0.3 * 11.0, "{}", withheld(&monitor));
 }
 
-// An upstream fails for a second, works for ten, and so on. Each time it is back in full
-// it fails some tasks, unless it is tried less and less.
+// Guards against an upstream that alternately fails for one second and works for ten. Each time
+// it gets its full share back it fails some tasks, unless it is tried less and less often.
 #[test]
-fn a_flapping_upstream_is_tried_less_and_less() {
+fn a_flapping_upstream_is_tried_less_and_less_often() {
     let mut monitor = monitor();
     let mut shares = Vec::new();
     for round in 0..12 {
--- a/crates/cassiarock-policy/tests/model/entry.rs
+++ b/crates/cassiarock-policy/tests/model/entry.rs
@@ -1,7 +1,7 @@
-//! One entry around its dispatcher.
+//! A simulated entry with a real dispatcher.
 
 use super::load::Job;
-use super::world::{Shape, id};
+use super::simulation::{SimulationConfig, id};
 use cassiarock_id::{Name, Process, Task};
 use cassiarock_policy::dispatch::{Answer, Dispatcher, Outcome, Submission};
 use cassiarock_policy::load::LoadReport;
@@ -17,14 +17,14 @@
 }
 
 impl Entry {
-    pub fn new(index: usize, shape: &Shape, agents: &[Process]) -> Self {
-        let seed = shape.seed + index as u64;
+    pub fn new(index: usize, config: &SimulationConfig, agents: &[Process]) -> Self {
+        let seed = config.seed + index as u64;
         let mut entry = Self {
             name: Process::new(format!("entry-{index}"), 1),
-            dispatcher: Dispatcher::new(shape.dispatch.clone(), seed),
+            dispatcher: Dispatcher::new(config.dispatch.clone(), seed),
         };
         for agent in agents {
-            entry.add(agent, shape.slots);
+            entry.add(agent, config.slots);
         }
         entry
     }
@@ -51,7 +51,7 @@
         answer
     }
 
-    /// A task ended. Returns when to try again, if it is to be tried again.
+    /// Handles the outcome of a task; returns the delay of its retry, if there is one.
     pub fn end(
         &mut self,
         agent: &Process,
--- a/crates/cassiarock-policy/tests/model/load.rs
+++ b/crates/cassiarock-policy/tests/model/load.rs
@@ -1,11 +1,11 @@
-//! Seeded open-loop arrivals.
+//! Open-loop job arrivals from a seed.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// How long callers wait, unless a test says otherwise.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// The deadline of each job unless a test sets another.
+pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
 /// One job as it arrives.
 #[derive(Clone, Debug)]
@@ -28,7 +28,8 @@
     }
 }
 
-/// A kind of job: how often, how many tasks, how long each.
+/// A class of jobs: its share of all jobs, and the ranges of the number of tasks and of their
+/// run times.
 #[derive(Clone, Copy, Debug)]
 pub struct JobClass {
     pub share: f64,
@@ -44,7 +45,7 @@
     }
 }
 
-/// Seat checks, assignments of a morning, waves, a few long tasks.
+/// Seat checks, morning assignments, waves of many tasks, and a few long tasks.
 pub const ANDES: [JobClass; 4] = [
     class(0.55, (1.0, 1.0), (50.0, 200.0)),
     class(0.35, (8.0, 60.0), (100.0, 1000.0)),
@@ -52,7 +53,7 @@
     class(0.02, (1.0, 4.0), (2000.0, 6000.0)),
 ];
 
-/// Sign-offs, alerts, audit packs, a few long tasks.
+/// Sign-offs, alerts, audit packs, and a few long tasks.
 pub const ICELAND: [JobClass; 4] = [
     class(0.60, (1.0, 1.0), (50.0, 150.0)),
     class(0.15, (1.0, 5.0), (100.0, 400.0)),
@@ -60,8 +61,8 @@
     class(0.02, (1.0, 4.0), (2000.0, 5000.0)),
 ];
 
-/// Arrivals of `mix` at `load` of `slots` slots for `length`, spread over the entries
-/// by `skew`: 0 evenly, 1 all at the first.
+/// Arrivals of the classes `mix` over `length` that use the share `load` of `slots` slots.
+/// `skew` is the share of jobs that go to the first entry; the others go to random entries.
 pub fn arrivals(
     mix: &[JobClass],
     load: f64,
@@ -98,7 +99,7 @@
             kind,
             runs,
             declared: Duration::from_secs_f64(mean(mix[kind].millis) / 1000.0),
-            within: PATIENCE,
+            within: DEFAULT_DEADLINE,
             team: 0,
         });
     }
--- a/crates/cassiarock-policy/tests/model/mod.rs
+++ b/crates/cassiarock-policy/tests/model/mod.rs
@@ -1,8 +1,8 @@
-//! A small discrete-event loop: entries and agents around the decisions, with delays
-//! between them, in virtual time and with a fixed seed.
+//! A discrete-event model of entries and agents that runs the real decisions in virtual time,
+//! with message delays and fixed seeds.
 
 pub mod entry;
 pub mod load;
 pub mod reference;
 pub mod report;
-pub mod world;
+pub mod simulation;
--- a/crates/cassiarock-policy/tests/model/reference.rs
+++ b/crates/cassiarock-policy/tests/model/reference.rs
@@ -1,4 +1,5 @@
-//! The two references for response time.
+//! Two references for response times: the ideal time of each job alone, and an omniscient
+//! queue.
 
 use super::load::Job;
 use std::cmp::Reverse;
@@ -10,14 +11,14 @@
 pub enum Order {
     /// By arrival.
     Arrival,
-    /// The least remaining true work first, each job's longest task first.
+    /// By least remaining true work, each job's longest task first.
     Least,
     /// By arrival plus a hundred times the true ideal time, tasks in the given order: the
-    /// policies' order, without their delays and estimates.
+    /// order of the policies, without their delays and estimates.
     Due,
 }
 
-/// The job's tasks on an empty pool's slots, the longest first.
+/// The response time of the job alone on an empty pool, its longest task first.
 pub fn ideal(job: &Job, slots: usize) -> Duration {
     let mut runs = job.runs.clone();
     runs.sort();
@@ -34,7 +35,8 @@
     end
 }
 
-/// Response times with one zero-delay, work-conserving queue that knows all run times.
+/// Response times under a work-conserving central queue without delays that knows all run
+/// times.
 pub fn omniscient(jobs: &[Job], slots: usize, order: Order) -> Vec<Duration> {
     let mut left: Vec<Vec<Duration>> = jobs.iter().map(|job| job.runs.clone()).collect();
     if !matches!(order, Order::Due) {
--- a/crates/cassiarock-policy/tests/model/report.rs
+++ b/crates/cassiarock-policy/tests/model/report.rs
@@ -1,18 +1,18 @@
-//! Figures over one run.
+//! Statistics of one run.
 
 use super::load::Job;
 use super::reference;
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spread {
+pub struct Distribution {
     pub mean: f64,
     pub p50: f64,
     pub p99: f64,
     pub p999: f64,
 }
 
-impl Spread {
+impl Distribution {
     pub fn new(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
         let at = |share: f64| {
@@ -31,18 +31,19 @@
     }
 }
 
-/// Each completed job's response over a reference's.
-pub fn over(response: &[Option<Duration>], reference: &[Duration]) -> Spread {
+/// The distribution of the completed jobs' response times divided by a reference's.
+pub fn over(response: &[Option<Duration>], reference: &[Duration]) -> Distribution {
     let ratios = response
         .iter()
         .zip(reference)
         .filter_map(|(response, reference)| {
             Some(response.as_ref()?.as_secs_f64() / reference.as_secs_f64())
         });
-    Spread::new(ratios.collect())
+    Distribution::new(ratios.collect())
 }
 
-/// The mean response in seconds of the completed jobs, and the reference's for the same.
+/// The mean response time of the completed jobs in seconds, and the reference's mean for the
+/// same jobs.
 pub fn means(response: &[Option<Duration>], reference: &[Duration]) -> (f64, f64) {
     let both = response.iter().zip(reference);
     let pairs: Vec<(f64, f64)> = both
@@ -57,7 +58,7 @@
     (sum.0 / count, sum.1 / count)
 }
 
-/// Work of the jobs completed in a span of time, over what all slots could do in it.
+/// The work of the jobs completed in a time span, divided by the capacity of all slots in it.
 pub fn goodput(
     jobs: &[Job],
     response: &[Option<Duration>],
@@ -72,7 +73,7 @@
     done.sum::<f64>() / (slots as f64 * (until - from).as_secs_f64())
 }
 
-/// The ideal response of each job.
+/// The ideal response time of each job.
 pub fn ideals(jobs: &[Job], slots: usize) -> Vec<Duration> {
     jobs.iter()
         .map(|job| reference::ideal(job, slots))
--- a/crates/cassiarock-policy/tests/place.rs
+++ b/crates/cassiarock-policy/tests/place.rs
@@ -1,4 +1,4 @@
-//! The placement of one entry, event by event.
+//! Placement at one entry, event by event.
 
 use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::LoadReport;
@@ -12,8 +12,8 @@
     Process::new(format!("agent-{index}"), 1)
 }
 
-fn placer(kind: PlacementPolicy, agents: usize) -> Placer {
-    let mut placer = Placer::new(Settings::new(kind), 3);
+fn placer(policy: PlacementPolicy, agents: usize) -> Placer {
+    let mut placer = Placer::new(Settings::new(policy), 3);
     for index in 0..agents {
         placer.add(Upstream::new(agent(index), 8));
     }
@@ -43,8 +43,8 @@
     two_choices = { PlacementPolicy::TwoChoices },
     credits = { PlacementPolicy::Credits },
 )]
-fn tasks_start_at_once_on_an_idle_pool(kind: PlacementPolicy) {
-    let mut placer = placer(kind, 11);
+fn tasks_start_at_once_on_an_idle_pool(policy: PlacementPolicy) {
+    let mut placer = placer(policy, 11);
     placer.enqueue(job(1, 60));
     assert_eq!(count(&placer.poll(Duration::ZERO)), 60);
 }
@@ -92,10 +92,10 @@
 }
 
 #[test]
-fn a_cancelled_job_sends_no_further_start() {
+fn no_task_of_a_cancelled_job_is_started() {
     let mut placer = placer(PlacementPolicy::Credits, 1);
     placer.enqueue(job(1, 20));
-    // Eight run and four wait ahead at the agent, which has to cancel those.
+    // Eight run, and four wait at the agent, which has to cancel them.
     assert_eq!(count(&placer.poll(Duration::ZERO)), 12);
     assert_eq!(placer.cancel(job(1, 20).id).len(), 8);
     let load = LoadReport {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_tasks_of_a_lost_upstream_are_named_once() {
+fn the_tasks_of_a_disconnected_upstream_are_returned_once() {
     let mut placer = placer(PlacementPolicy::Credits, 1);
     placer.enqueue(job(1, 3));
     placer.poll(Duration::ZERO);
--- a/crates/cassiarock-policy/tests/retry.rs
+++ b/crates/cassiarock-policy/tests/retry.rs
@@ -3,10 +3,10 @@
 use cassiarock_policy::retry::{Budget, RetrySafety, Settings};
 use std::time::Duration;
 
-// A store behind all upstreams goes and every task fails. Each is tried again and again,
-// and the load of the tries keeps the upstreams from recovering.
+// Guards against retries that prevent recovery. When a store that all upstreams use fails, every
+// task fails, and the load of unbounded retries would keep the upstreams from recovering.
 #[test]
-fn a_total_failure_adds_a_tenth_of_load_at_most() {
+fn a_total_failure_adds_at_most_a_tenth_of_load() {
     let setting = Settings::default();
     let mut budget = Budget::new(setting, 1);
     (0..10_000).for_each(|_| budget.record_success());
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_never_tried_again() {
+fn a_task_that_may_have_run_is_never_retried() {
     let mut budget = Budget::new(Settings::default(), 1);
     assert!((0..100).all(|_| budget.take(RetrySafety::Unproven, 0).is_none()));
 }
--- a/crates/cassiarock-policy/tests/size.rs
+++ b/crates/cassiarock-policy/tests/size.rs
@@ -1,4 +1,4 @@
-//! Learned run times and needs.
+//! Learned run times and the check of resource needs.
 
 use cassiarock_id::{Name, Process};
 use cassiarock_policy::size::{Capacities, Estimator, Feasibility, ResourceKind, Resources};
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn one_task_of_a_minute_does_not_make_its_kind_a_long_one() {
+fn one_task_of_a_minute_does_not_raise_the_estimate_of_its_kind() {
     let mut estimate = learned(|_| ms(100), |_| ms(100));
     estimate.learn(&Name::from("k"), Some(ms(100)), ms(60_000));
     within(estimate.run_time(&Name::from("k"), None), ms(100));
 }
 
 #[test]
-fn a_declared_value_that_follows_the_truth_ten_times_off_is_corrected() {
+fn declared_values_that_are_ten_times_too_long_are_corrected() {
     let estimate = learned(
         |index| ms(10_000 + 1000 * (index % 10)),
         |index| ms(1000 + 100 * (index % 10)),
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn a_declared_value_that_scatters_is_left_aside() {
+fn declared_values_that_scatter_are_ignored() {
     let wild = |index| if index % 2 == 0 { ms(20) } else { ms(4000) };
     let estimate = learned(wild, |_| ms(200));
     within(estimate.run_time(&Name::from("k"), Some(ms(4000))), ms(200));
 }
 
 #[test]
-fn names_beyond_the_bound_share_one_estimate() {
+fn kinds_beyond_the_limit_share_one_estimate() {
     let mut estimate = Estimator::default();
     for index in 0..5000 {
         estimate.learn(&Name::from(format!("k{index}")), None, ms(300));
