--- a/crates/cassiarock-transient/src/directory.rs
+++ b/crates/cassiarock-transient/src/directory.rs
@@ -1,30 +1,31 @@
-//! Where entries take links, as far as a process knows.
+//! The directory of entries: the addresses at which entries accept links, as far as a process knows
+//! them.
 //!
-//! The load that this answers is that of membership itself. Where each agent followed the topic
-//! on which entries announce themselves, each announcement was read once by every agent: calls
-//! to the store grew with entries times agents. Entries follow the topic and pass on what
-//! changes over the links that they have; each change goes over a link once, so that a process
-//! hears of it as often as it has links, at any size of the system.
+//! It limits the load of membership changes. When each agent followed the topic on which entries
+//! announce themselves, every agent read every announcement, and calls to the store grew with the
+//! number of entries times the number of agents. Now entries follow the topic and forward changes
+//! over their existing links. Each change is sent over a link once, so that a process receives it
+//! as often as it has links, whatever the size of the system.
 //!
-//! What a process knows is a state together with the offset before which all records of the topic
-//! are folded into it. An update covers the records between two offsets; it is taken if nothing
-//! is missing before it.
+//! A process holds a state and the topic offset before which all records are applied to it. An
+//! update covers the records between two offsets and is applied only if no record before it is
+//! missing.
 
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where an entry takes links.
+/// The address of an entry and its data centre.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Endpoint {
-    /// The address.
+    /// The address at which the entry accepts links.
     pub address: Name,
-    /// The data centre; empty if it is not known.
+    /// The data centre; empty if unknown.
     #[serde(default)]
     pub data_centre: Name,
 }
 
-/// Where entries take links, before an offset of their topic.
+/// The endpoints of all entries, as of an offset of their topic.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct State {
     next: u64,
@@ -33,7 +34,7 @@
 }
 
 impl Endpoint {
-    /// An address in a data centre.
+    /// An endpoint at this address in this data centre.
     #[must_use]
     pub fn new(address: impl Into<Name>, data_centre: impl Into<Name>) -> Self {
         Self {
@@ -43,43 +44,43 @@
     }
 }
 
-/// What has changed between two offsets of the topic.
+/// The changes between two offsets of the topic.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Update {
-    /// The offset of the first record that it covers; 0 if it tells all addresses.
+    /// The offset of the first record that it covers; 0 if it lists all endpoints.
     pub since: u64,
-    /// The offset after the last one.
+    /// The offset after the last record that it covers.
     pub next: u64,
-    /// Places of which a record tells in between, or all of them.
+    /// Endpoints announced in between, or all of them if `since` is 0.
     pub present: Vec<Endpoint>,
-    /// Addresses whose records were dropped in between.
+    /// Addresses whose records were deleted in between.
     pub gone: Vec<Name>,
 }
 
-/// What became of an update.
+/// The result of applying an update.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ApplyResult {
-    /// All of it was known.
+    /// The state already contains all of it.
     Known,
-    /// The state is that of its end now.
+    /// The state now includes the update.
     Changed {
-        /// How many addresses are new.
+        /// The number of new addresses.
         added: usize,
-        /// Addresses that are there no more.
+        /// Addresses that are no longer in the directory.
         removed: Vec<Name>,
     },
-    /// Records before it are missing: all addresses have to be asked for.
+    /// Records before the update are missing: a full update has to be requested.
     Gap,
 }
 
 impl State {
-    /// The offset before which all records are folded in; 0 if nothing is known.
+    /// The offset before which all records are applied; 0 if nothing is known.
     #[must_use]
     pub const fn next_offset(&self) -> u64 {
         self.next
     }
 
-    /// All of it, for a process that lacks something.
+    /// An update that lists all endpoints, for a process that misses records.
     #[must_use]
     pub fn full_update(&self) -> Update {
         Update {
@@ -94,7 +95,8 @@
         }
     }
 
-    /// How far it goes, for a process that may lack something.
+    /// An update without records at this state's offset. A receiver that misses records finds the
+    /// gap by it.
     #[must_use]
     pub const fn empty_update(&self) -> Update {
         Update {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Takes an update, unless records before it are missing.
+    /// Applies an update, unless records before it are missing.
     ///
     /// ```
     /// use cassiarock_transient::directory::{ApplyResult, Endpoint, State, Update};
@@ -141,8 +143,8 @@
             data_centre,
         } in &update.present
         {
-            let was = self.places.insert(address.clone(), data_centre.clone());
-            added += usize::from(was.is_none());
+            let previous = self.places.insert(address.clone(), data_centre.clone());
+            added += usize::from(previous.is_none());
         }
         for address in &removed {
             self.places.remove(address);
@@ -152,7 +154,7 @@
 }
 
 impl Update {
-    /// All places, before the offset `next`.
+    /// An update that lists all endpoints as of the offset `next`.
     #[must_use]
     pub fn full(next: u64, places: impl IntoIterator<Item = Endpoint>) -> Self {
         Self {
@@ -164,24 +166,27 @@
     }
 }
 
-/// Gathers records into one update.
+/// Combines consecutive records into one update.
 #[derive(Clone, Debug, Default)]
 pub struct UpdateBuilder {
     since: Option<u64>,
     next: u64,
-    /// The data centre that the last record of an address tells of; none if it drops the address.
+    /// The data centre from the last record of each address; `None` if that record deletes the
+    /// address.
     addresses: BTreeMap<Name, Option<Name>>,
 }
 
 impl UpdateBuilder {
-    /// Adds the record at `offset`: an address, and its data centre unless the address is dropped.
+    /// Adds the record at `offset`: an address with its data centre, or with `None` if the record
+    /// deletes the address.
     pub fn add(&mut self, offset: u64, address: Name, data_centre: Option<Name>) {
         self.since.get_or_insert(offset);
         self.next = offset + 1;
         self.addresses.insert(address, data_centre);
     }
 
-    /// What has been gathered, if anything was; the next one begins with nothing.
+    /// Returns the update for the records added since the last call, if there were any, and resets
+    /// the builder.
     pub fn take(&mut self) -> Option<Update> {
         let mut update = Update {
             since: self.since.take()?,
--- a/crates/cassiarock-transient/src/host/health.rs
+++ b/crates/cassiarock-transient/src/host/health.rs
@@ -6,36 +6,36 @@
 use std::time::Duration;
 
 /// How many ends count: a fifth of a second's at 45 a second and upstream.
-const ENDS: usize = 12;
+const MAX_RESULTS: usize = 12;
 
 /// How long an end counts. An upstream that got no work for this long is tried anew.
 const WINDOW: Duration = Duration::from_secs(3);
 
 /// The weight of one end in the pace: the last ten ends make up two thirds of it.
-const WEIGHT: f64 = 0.1;
+const SLOWDOWN_WEIGHT: f64 = 0.1;
 
 /// The pace of one task counts within these bounds, so that no single one upsets the mean.
-const BOUNDS: (f64, f64) = (0.2, 8.0);
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.2, 8.0);
 
 /// Ends and pace of one upstream.
 #[derive(Clone, Debug)]
 pub(super) struct Health {
     /// When, whose and whether it failed.
-    ends: VecDeque<(Duration, Name, bool)>,
-    pace: f64,
+    results: VecDeque<(Duration, Name, bool)>,
+    slowdown: f64,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
-            ends: VecDeque::new(),
-            pace: 1.0,
+            results: VecDeque::new(),
+            slowdown: 1.0,
         }
     }
 }
 
 impl Health {
-    pub(super) fn end(
+    pub(super) fn record(
         &mut self,
         job: &Name,
         end: Outcome,
@@ -48,26 +48,25 @@
             Outcome::Failed => true,
             _ => return,
         };
-        while self
-            .ends
-            .front()
-            .is_some_and(|(at, ..)| now.saturating_sub(*at) > WINDOW || self.ends.len() >= ENDS)
-        {
-            self.ends.pop_front();
+        while self.results.front().is_some_and(|(at, ..)| {
+            now.saturating_sub(*at) > WINDOW || self.results.len() >= MAX_RESULTS
+        }) {
+            self.results.pop_front();
         }
-        self.ends.push_back((now, job.clone(), failed));
+        self.results.push_back((now, job.clone(), failed));
         if !failed && !expected.is_zero() {
-            let pace = ran.as_secs_f64() / expected.as_secs_f64();
-            self.pace += WEIGHT * (pace.clamp(BOUNDS.0, BOUNDS.1) - self.pace);
+            let slowdown = ran.as_secs_f64() / expected.as_secs_f64();
+            self.slowdown += SLOWDOWN_WEIGHT
+                * (slowdown.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1) - self.slowdown);
         }
     }
 
     /// The share of failed tasks in hundredths. The tasks of one job count once: a job that
     /// can never be done fails on any upstream.
-    pub(super) fn failing(&self, now: Duration) -> u8 {
+    pub(super) fn failure_percent(&self, now: Duration) -> u8 {
         let mut failed: Vec<&Name> = Vec::new();
         let mut done = 0_usize;
-        let recent = self.ends.iter();
+        let recent = self.results.iter();
         let recent = recent.filter(|(at, ..)| now.saturating_sub(*at) <= WINDOW);
         for (_, job, is_failure) in recent {
             if !is_failure {
@@ -83,7 +82,9 @@
     }
 
     /// The mean time of its tasks in hundredths of what was expected of them.
-    pub(super) fn pace(&self) -> u16 {
-        (self.pace * 100.0).round().clamp(1.0, f64::from(u16::MAX)) as u16
+    pub(super) fn slowdown_percent(&self) -> u16 {
+        (self.slowdown * 100.0)
+            .round()
+            .clamp(1.0, f64::from(u16::MAX)) as u16
     }
 }
--- a/crates/cassiarock-transient/src/host/incarnations.rs
+++ b/crates/cassiarock-transient/src/host/incarnations.rs
@@ -14,7 +14,7 @@
 const FENCE_STEP: u64 = 3_600_000;
 
 /// What a report says of the upstream's life.
-enum Verdict {
+enum ReportKind {
     /// The known one goes on.
     Same,
     /// Nothing that counts any more.
@@ -32,58 +32,60 @@
     pub fn handle_report(&mut self, worker: Worker, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         match self.classify(&worker) {
-            Verdict::Same => self.update(worker, now, &mut actions),
-            Verdict::Outdated(reason) => actions.push(ignored(&worker.incarnation(), reason)),
-            Verdict::Doubtful => {
-                actions.push(ignored(&worker.incarnation(), "an earlier start"));
+            ReportKind::Same => self.update(worker, now, &mut actions),
+            ReportKind::Outdated(reason) => {
+                actions.push(ignored_report(&worker.incarnation(), reason))
+            }
+            ReportKind::Doubtful => {
+                actions.push(ignored_report(&worker.incarnation(), "an earlier start"));
                 actions.push(Action::Poll);
             }
-            Verdict::New => self.begin(worker, "a new upstream", now, &mut actions),
+            ReportKind::New => self.begin_incarnation(worker, "a new upstream", now, &mut actions),
         }
         actions
     }
 
-    fn classify(&self, worker: &Worker) -> Verdict {
+    fn classify(&self, worker: &Worker) -> ReportKind {
         let Some(known) = &self.worker else {
-            return Verdict::New;
+            return ReportKind::New;
         };
         let (incarnation, present) = (worker.incarnation(), known.incarnation());
         if !present.differs_from(&incarnation) {
             let is_older = worker.sequence < known.sequence;
             return if is_older {
-                Verdict::Outdated("an earlier report")
+                ReportKind::Outdated("an earlier report")
             } else {
-                Verdict::Same
+                ReportKind::Same
             };
         }
         // Nothing else is there: if the report was held up, no order will be answered.
         if known.is_gone {
-            return Verdict::New;
+            return ReportKind::New;
         }
         if known.previous_incarnations.contains(&incarnation) {
-            return Verdict::Outdated("an earlier life");
+            return ReportKind::Outdated("an earlier life");
         }
         if incarnation.started_before(&present) {
-            return Verdict::Doubtful;
+            return ReportKind::Doubtful;
         }
-        Verdict::New
+        ReportKind::New
     }
 
     fn update(&mut self, worker: Worker, now: Duration, actions: &mut Vec<Action>) {
         let before = self.upstream();
         self.worker = match self.worker.take() {
-            Some(known) => Some(worker.following(known)),
+            Some(known) => Some(worker.with_history_of(known)),
             None => Some(worker),
         };
         if self.upstream() != before {
-            self.tell_upstream(actions, "the upstream changed");
-            self.beat_all(now, actions);
+            self.announce_upstream(actions, "the upstream changed");
+            self.send_heartbeat_to_all(now, actions);
         }
     }
 
     /// A life begins. What ran in the one before has ended, but for orders on their way: under
     /// the same id the new life takes them too.
-    fn begin(
+    fn begin_incarnation(
         &mut self,
         worker: Worker,
         reason: &'static str,
@@ -105,16 +107,16 @@
         let mut previous_incarnations =
             known.as_ref().map(Worker::incarnations).unwrap_or_default();
         previous_incarnations.retain(|incarnation| *incarnation != worker.incarnation());
-        self.worker = Some(worker.after(previous_incarnations));
-        self.since = now;
-        self.seen = 0;
-        self.is_known = false;
+        self.worker = Some(worker.with_previous_incarnations(previous_incarnations));
+        self.incarnation_known_since = now;
+        self.last_seen_end = 0;
+        self.is_reconciled = false;
         self.health = Health::default();
         self.offer = None;
         for (task, run) in in_flight {
             self.keep_in_flight(task, run, now, actions);
         }
-        self.tell_upstream(actions, reason);
+        self.announce_upstream(actions, reason);
     }
 
     /// An order that may yet reach a new life of the upstream is stopped there. It is over once
@@ -127,7 +129,7 @@
     /// Whether an answer to a poll is of the present life. An answer that names another one shows
     /// that the upstream has started again under its id, unless the poll went out before the
     /// present life was known.
-    pub(super) fn accept(
+    pub(super) fn accept_snapshot(
         &mut self,
         snapshot: &Snapshot,
         now: Duration,
@@ -140,8 +142,11 @@
             self.learn_start_time(snapshot.incarnation.started_at);
             return true;
         }
-        if known.id != snapshot.incarnation.id || snapshot.asked < self.since {
-            actions.push(ignored(&snapshot.incarnation, "an answer of another life"));
+        if known.id != snapshot.incarnation.id || snapshot.asked < self.incarnation_known_since {
+            actions.push(ignored_report(
+                &snapshot.incarnation,
+                "an answer of another life",
+            ));
             return false;
         }
         let worker = Worker {
@@ -152,7 +157,7 @@
             is_unreported: true,
             ..known.clone()
         };
-        self.begin(worker, "it started again under its id", now, actions);
+        self.begin_incarnation(worker, "it started again under its id", now, actions);
         actions.push(Action::Poll);
         false
     }
@@ -166,7 +171,7 @@
     }
 
     /// Whether an answer to an order of `life` is of the present life.
-    pub(super) fn is_of(&self, incarnation: &Incarnation) -> bool {
+    pub(super) fn is_current(&self, incarnation: &Incarnation) -> bool {
         let worker = self.worker.as_ref();
         worker.is_some_and(|worker| !worker.incarnation().differs_from(incarnation))
     }
@@ -177,11 +182,14 @@
         let known = self.worker.as_ref().filter(|worker| &*worker.id == id);
         match known {
             Some(worker) if worker.started_at.is_some() && !worker.is_leaving => {
-                vec![ignored(&worker.incarnation(), "an end without notice")]
+                vec![ignored_report(
+                    &worker.incarnation(),
+                    "an end without notice",
+                )]
             }
             Some(worker) => {
                 let incarnation = worker.incarnation();
-                self.gone(&incarnation, Outcome::Lost, "the upstream ended", now)
+                self.lose_upstream(&incarnation, Outcome::Lost, "the upstream ended", now)
             }
             None => Vec::new(),
         }
@@ -189,7 +197,7 @@
 
     /// Another life answers at the upstream's address.
     pub fn handle_replacement(&mut self, incarnation: &Incarnation, now: Duration) -> Vec<Action> {
-        self.gone(
+        self.lose_upstream(
             incarnation,
             Outcome::Crashed,
             "another life of the upstream answers",
@@ -198,7 +206,7 @@
     }
 
     /// The upstream is gone.
-    fn gone(
+    fn lose_upstream(
         &mut self,
         incarnation: &Incarnation,
         end: Outcome,
@@ -206,15 +214,15 @@
         now: Duration,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.is_of(incarnation) {
+        if !self.is_current(incarnation) {
             return actions;
         }
         self.lose_all(end, reason, now, &mut actions);
         if let Some(worker) = &mut self.worker {
             worker.is_gone = true;
         }
-        self.is_known = false;
-        self.tell_upstream(&mut actions, reason);
+        self.is_reconciled = false;
+        self.announce_upstream(&mut actions, reason);
         actions
     }
 
@@ -228,20 +236,20 @@
     /// The upstream turned away the fence: it has seen a higher one, from an agent that knew a
     /// life of it with a later start.
     pub fn raise_fence(&mut self, incarnation: &Incarnation) -> Vec<Action> {
-        if !self.is_of(incarnation) {
+        if !self.is_current(incarnation) {
             return Vec::new();
         }
         let step = self.fence_step.max(FENCE_STEP);
         self.fence = self.fence.saturating_add(step);
         self.fence_step = step.saturating_mul(2);
-        let told = Decision::new("fence raised", "", "")
+        let decision = Decision::new("fence raised", "", "")
             .with("upstream", incarnation)
             .with("fence", self.fence);
-        vec![Action::Log(told.failed())]
+        vec![Action::Log(decision.failed())]
     }
 }
 
-fn ignored(incarnation: &Incarnation, reason: &'static str) -> Action {
+fn ignored_report(incarnation: &Incarnation, reason: &'static str) -> Action {
     Action::Log(
         Decision::new("report ignored", "", "")
             .with("upstream", incarnation)
--- a/crates/cassiarock-transient/src/host/mod.rs
+++ b/crates/cassiarock-transient/src/host/mod.rs
@@ -1,12 +1,12 @@
 //! The agent's side: which tasks run on its upstream, for whom, and until when.
 
 mod entries;
+mod entry_state;
 mod health;
 mod incarnations;
 mod lease;
 mod offer;
 mod orders;
-mod owner;
 mod run;
 mod snapshots;
 mod upstream;
@@ -20,10 +20,10 @@
 use crate::message::Message;
 use crate::timing::HEARTBEAT_INTERVAL;
 use cassiarock_id::{Name, Process};
+use entry_state::EntryState;
 use health::Health;
 use lease::Lease;
 use offer::Offer;
-use owner::Owner;
 use run::Runs;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -58,22 +58,22 @@
     /// What has been ordered and has not ended.
     runs: Runs,
     /// The entries that have tasks here, or are linked.
-    owners: BTreeMap<Process, Owner>,
+    entries: BTreeMap<Process, EntryState>,
     /// What the latest ends tell of the upstream.
     health: Health,
     /// The upstream's clock and leases.
     lease: Lease,
     /// Since when the upstream's present life is known.
-    since: Duration,
+    incarnation_known_since: Duration,
     /// What orders to the upstream carry; it rises from life to life.
     fence: u64,
     /// What the fence rises by if it is turned away once more.
     fence_step: u64,
     /// Ends of the upstream up to this number have been taken.
-    seen: u64,
+    last_seen_end: u64,
     /// Whether the upstream has been looked at in its present life. Until then an earlier
     /// life of the agent may have tasks on it, so nothing is started.
-    is_known: bool,
+    is_reconciled: bool,
     /// Whether this agent takes no new work.
     is_leaving: bool,
     /// Whether operators are emptying the data centre.
@@ -112,7 +112,7 @@
         if self.lease.is_silent(now) {
             0
         } else {
-            self.seen
+            self.last_seen_end
         }
     }
 
@@ -120,24 +120,24 @@
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         self.stop_abandoned(now, &mut actions);
-        self.stop_again(now, &mut actions);
-        self.lapse(now, &mut actions);
-        for owner in self.owners.values_mut() {
-            owner.forget(now);
+        self.retry_unconfirmed_stops(now, &mut actions);
+        self.expire_leases(now, &mut actions);
+        for state in self.entries.values_mut() {
+            state.drop_expired_results(now);
         }
         let runs = &self.runs;
-        self.owners
-            .retain(|entry, owner| owner.is_linked || !owner.is_idle(now) || runs.has(entry));
+        self.entries
+            .retain(|entry, state| state.is_linked || !state.is_idle(now) || runs.has_entry(entry));
         self.offer(now, &mut actions);
-        self.broadcast(now, &mut actions);
+        self.send_due_heartbeats(now, &mut actions);
         actions
     }
 
     /// When [`Self::poll`] has to be called next.
     #[must_use]
     pub fn next_poll(&self, now: Duration) -> Duration {
-        let linked = self.owners.values().filter(|owner| owner.is_linked);
-        let next = linked.map(|owner| owner.told + HEARTBEAT_INTERVAL).min();
+        let linked = self.entries.values().filter(|state| state.is_linked);
+        let next = linked.map(|state| state.last_load_sent + HEARTBEAT_INTERVAL).min();
         let next = next.unwrap_or(now + HEARTBEAT_INTERVAL);
         self.offered_until().map_or(next, |until| next.min(until))
     }
--- a/crates/cassiarock-transient/src/host/offer.rs
+++ b/crates/cassiarock-transient/src/host/offer.rs
@@ -13,11 +13,11 @@
 
 /// How long room is held for an entry: the way there and back between data centres, and the
 /// turn of an entry that has a fraction of a core.
-const HOLD: Duration = Duration::from_millis(10);
+const HOLD_TIME: Duration = Duration::from_millis(10);
 
 /// An entry that still waits repeats its ask with each heartbeat, every 100 ms; an older ask
 /// has been met elsewhere.
-const FRESH: Duration = Duration::from_millis(150);
+const REQUEST_MAX_AGE: Duration = Duration::from_millis(150);
 
 /// Room that is held for an entry.
 #[derive(Clone, Debug)]
@@ -35,12 +35,12 @@
 
 /// What an entry asks for, and since when.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Asked {
-    ask: CapacityRequest,
-    at: Duration,
+pub(super) struct PendingRequest {
+    request: CapacityRequest,
+    received_at: Duration,
 }
 
-impl Asked {
+impl PendingRequest {
     /// The least goes first, in the order in which each entry ranks its own jobs.
     fn rank(&self) -> (bool, bool, bool, u32, Duration) {
         let CapacityRequest {
@@ -50,17 +50,23 @@
             urgency,
             left,
             ..
-        } = self.ask;
-        (is_late, is_unstarted, has_waited, urgency, self.at + left)
+        } = self.request;
+        (
+            is_late,
+            is_unstarted,
+            has_waited,
+            urgency,
+            self.received_at + left,
+        )
     }
 
     fn fits(&self, free: &Resources, now: Duration) -> bool {
-        now < self.at + FRESH && self.ask.demand.fits_in(free)
+        now < self.received_at + REQUEST_MAX_AGE && self.request.demand.fits_in(free)
     }
 
     /// The part of `free` that it can use.
     fn room(&self, free: &Resources) -> Resources {
-        let CapacityRequest { demand, tasks, .. } = self.ask;
+        let CapacityRequest { demand, tasks, .. } = self.request;
         let tasks = free.count_of(&demand).min(u64::from(tasks));
         (0..tasks).fold(Resources::default(), |room, _| room.saturating_add(&demand))
     }
@@ -68,9 +74,17 @@
 
 impl Host {
     /// What `entry` waits for now; nothing if it passes. An offer to it is answered by that.
-    pub(super) fn ask(&mut self, entry: &Process, ask: Option<CapacityRequest>, now: Duration) {
-        if let Some(owner) = self.owners.get_mut(entry) {
-            owner.asked = ask.map(|ask| Asked { ask, at: now });
+    pub(super) fn record_request(
+        &mut self,
+        entry: &Process,
+        request: Option<CapacityRequest>,
+        now: Duration,
+    ) {
+        if let Some(state) = self.entries.get_mut(entry) {
+            state.request = request.map(|request| PendingRequest {
+                request,
+                received_at: now,
+            });
         }
         if self.is_offered(entry, now) {
             self.offer = None;
@@ -106,7 +120,7 @@
     /// Holds free room for the most urgent ask and tells its entry.
     pub(super) fn offer(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if let Some(entry) = self.hold(now, actions) {
-            self.beat(&entry, now, actions);
+            self.send_heartbeat(&entry, now, actions);
         }
     }
 
@@ -120,10 +134,10 @@
             }
             // It has not answered: what it asked for counts no more until it asks again.
             Some(offer) => {
-                let told = Decision::new("offer lapsed", "", "").with("to", &offer.to);
-                actions.push(Action::Log(told));
-                if let Some(owner) = self.owners.get_mut(&offer.to) {
-                    owner.asked = None;
+                let decision = Decision::new("offer lapsed", "", "").with("to", &offer.to);
+                actions.push(Action::Log(decision));
+                if let Some(state) = self.entries.get_mut(&offer.to) {
+                    state.request = None;
                 }
             }
             None => {}
@@ -132,22 +146,25 @@
             return None;
         }
         let free = self.free();
-        let owners = self.owners.iter();
-        let owners = owners.filter(|(_, owner)| owner.is_linked && !owner.is_retired);
-        let asks = owners.filter_map(|(entry, owner)| Some((entry, owner.asked.as_ref()?)));
-        let fit = asks.filter(|(_, asked)| asked.fits(&free, now));
-        let (entry, asked) = fit.min_by_key(|(_, asked)| asked.rank())?;
-        let (to, room) = (entry.clone(), asked.room(&free));
-        let told = Decision::new("offered", "", "")
+        let entries = self.entries.iter();
+        let entries = entries.filter(|(_, state)| state.is_linked && !state.is_retired);
+        let requests = entries.filter_map(|(entry, state)| Some((entry, state.request.as_ref()?)));
+        let fit = requests.filter(|(_, pending)| pending.fits(&free, now));
+        let (entry, pending) = fit.min_by_key(|(_, pending)| pending.rank())?;
+        let (to, room) = (entry.clone(), pending.room(&free));
+        let decision = Decision::new("offered", "", "")
             .with("to", &to)
-            .with("urgency", asked.ask.urgency)
-            .with("ask_age_ms", now.saturating_sub(asked.at).as_millis())
+            .with("urgency", pending.request.urgency)
+            .with(
+                "ask_age_ms",
+                now.saturating_sub(pending.received_at).as_millis(),
+            )
             .with("free_cpu", free.cpu)
             .with("held_cpu", room.cpu);
-        actions.push(Action::Log(told));
+        actions.push(Action::Log(decision));
         self.offer = Some(Offer {
             to: to.clone(),
-            until: now + HOLD,
+            until: now + HOLD_TIME,
             room,
         });
         Some(to)
--- a/crates/cassiarock-transient/src/host/orders.rs
+++ b/crates/cassiarock-transient/src/host/orders.rs
@@ -1,6 +1,6 @@
 //! Starting and stopping tasks.
 
-use super::owner::Owner;
+use super::entry_state::EntryState;
 use super::run::{Phase, Run, StartResponse, Task};
 use super::{Action, Host};
 use crate::message::{Attempt, AttemptResult, Order, Outcome, Start};
@@ -11,7 +11,7 @@
 
 /// A stop that is not confirmed by an end is ordered again after this time: the upstream
 /// needs up to 50 ms for it.
-const STOP_AGAIN: Duration = Duration::from_millis(100);
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Host {
     /// An entry orders tasks. `echo` is this agent's clock as the entry last heard it.
@@ -27,24 +27,24 @@
         now: Duration,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        let owner = self.owners.entry(entry.clone()).or_default();
-        owner.heard(echo);
-        owner.serial = serial;
+        let state = self.entries.entry(entry.clone()).or_default();
+        state.record_echo(echo);
+        state.serial = serial;
         let age = now.saturating_sub(echo);
         let mut results = Vec::new();
         for order in orders {
-            let turned = self.take(entry, &order, age, now, &mut actions);
-            actions.push(Action::Log(self.taken(&order, &turned, age)));
-            results.extend(turned);
+            let rejected = self.start_tasks(entry, &order, age, now, &mut actions);
+            actions.push(Action::Log(self.order_decision(&order, &rejected, age)));
+            results.extend(rejected);
         }
         if !results.is_empty() {
-            self.end_all(entry, results, now, &mut actions);
+            self.report_results(entry, results, now, &mut actions);
         }
         actions
     }
 
     /// Starts the tasks of an order. Gives those that are turned away.
-    fn take(
+    fn start_tasks(
         &mut self,
         entry: &Process,
         order: &Order,
@@ -52,14 +52,14 @@
         now: Duration,
         actions: &mut Vec<Action>,
     ) -> Vec<AttemptResult> {
-        let mut turned = Vec::new();
+        let mut rejected = Vec::new();
         for start in &order.tasks {
             let task = Task {
                 job: order.job.clone(),
                 attempt: start.of(order.number),
             };
-            if let Some(end) = self.obstacle(entry, &task, start, age, now, actions) {
-                turned.push(unrun(task.attempt, end));
+            if let Some(end) = self.rejection(entry, &task, start, age, now, actions) {
+                rejected.push(unstarted_result(task.attempt, end));
                 continue;
             }
             let run = Run::new(entry.clone(), order.request.clone(), start, now);
@@ -70,24 +70,24 @@
                 until: self.lease.renew(now),
             });
         }
-        turned
+        rejected
     }
 
-    fn taken(&self, order: &Order, turned: &[AttemptResult], age: Duration) -> Decision {
-        let told = Decision::new("order", order.request.clone(), order.job.clone())
+    fn order_decision(&self, order: &Order, rejected: &[AttemptResult], age: Duration) -> Decision {
+        let decision = Decision::new("order", order.request.clone(), order.job.clone())
             .with("tasks", order.tasks.len())
-            .with("turned_away", turned.len())
+            .with("turned_away", rejected.len())
             .with("echo_age_ms", age.as_millis())
             .with("free_cpu", self.free().cpu)
             .with("running", self.runs.len());
-        match turned.first() {
-            Some(result) => told.with("reason", format_args!("{:?}", result.outcome)),
-            None => told,
+        match rejected.first() {
+            Some(result) => decision.with("reason", format_args!("{:?}", result.outcome)),
+            None => decision,
         }
     }
 
     /// Why `task` cannot be started now, if anything stands in its way.
-    fn obstacle(
+    fn rejection(
         &mut self,
         entry: &Process,
         task: &Task,
@@ -103,12 +103,12 @@
             return Some(Outcome::Closed);
         };
         let is_shut = self.is_closed() || worker.is_leaving || !worker.is_present();
-        if is_shut || !self.is_known || self.lease.is_silent(now) {
+        if is_shut || !self.is_reconciled || self.lease.is_silent(now) {
             return Some(Outcome::Closed);
         }
         // The caller submitted the job again while an earlier submission's task is here: that
         // one has to end first, or the task would run twice at once.
-        if let Some(earlier) = self.runs.same(task) {
+        if let Some(earlier) = self.runs.find_same_task(task) {
             self.stop(&earlier, "its job was submitted again", now, actions);
             return Some(Outcome::Busy);
         }
@@ -145,10 +145,10 @@
         now: Duration,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.is_of(incarnation) {
+        if !self.is_current(incarnation) {
             return actions;
         }
-        self.lease.hear(clock, now);
+        self.lease.record_clock(clock, now);
         let Some(run) = self.runs.get_mut(task) else {
             return actions;
         };
@@ -168,7 +168,7 @@
             StartResponse::Superseded => Outcome::Passed,
             StartResponse::Refused => Outcome::Refused,
         };
-        self.end(task, end, now, &mut actions);
+        self.finish(task, end, now, &mut actions);
         actions
     }
 
@@ -186,11 +186,11 @@
             return;
         }
         run.phase = Phase::Stopping(now);
-        let told = Decision::new("stop", run.request.clone(), task.job.clone())
+        let decision = Decision::new("stop", run.request.clone(), task.job.clone())
             .with("task", task)
             .with("reason", reason)
             .with("ran_ms", now.saturating_sub(run.since).as_millis());
-        actions.push(Action::Log(told));
+        actions.push(Action::Log(decision));
         actions.push(Action::Stop(task.clone()));
     }
 
@@ -203,15 +203,15 @@
         clock: Option<u64>,
         now: Duration,
     ) -> Vec<Action> {
-        if !self.is_of(incarnation) {
+        if !self.is_current(incarnation) {
             return Vec::new();
         }
-        self.lease.hear(clock, now);
+        self.lease.record_clock(clock, now);
         let Some(run) = self.runs.get_mut(task) else {
             return Vec::new();
         };
-        run.stopped = run.stopped.or(Some(now));
-        if run.listed {
+        run.stop_confirmed_at = run.stop_confirmed_at.or(Some(now));
+        if run.is_listed {
             return Vec::new();
         }
         vec![Action::Poll]
@@ -220,12 +220,12 @@
     /// Stops the tasks of entries that this agent no longer hears, or that no longer hear it:
     /// they will start the tasks elsewhere.
     pub(super) fn stop_abandoned(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let lost = |owner: &Owner| now.saturating_sub(owner.echo) >= CONTACT_TIMEOUT;
+        let lost = |state: &EntryState| now.saturating_sub(state.echo) >= CONTACT_TIMEOUT;
         let abandoned: Vec<Task> = self
             .runs
             .iter()
             .filter(|(_, run)| !matches!(run.phase, Phase::Stopping(_)))
-            .filter(|(_, run)| self.owners.get(&run.owner).is_none_or(lost))
+            .filter(|(_, run)| self.entries.get(&run.entry).is_none_or(lost))
             .map(|(task, _)| task.clone())
             .collect();
         for task in abandoned {
@@ -233,11 +233,11 @@
         }
     }
 
-    pub(super) fn stop_again(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn retry_unconfirmed_stops(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for (task, run) in self.runs.iter_mut() {
             if let Phase::Stopping(at) = run.phase
-                && run.stopped.is_none()
-                && now >= at + STOP_AGAIN
+                && run.stop_confirmed_at.is_none()
+                && now >= at + STOP_RETRY_DELAY
             {
                 run.phase = Phase::Stopping(now);
                 actions.push(Action::Stop(task.clone()));
@@ -246,7 +246,7 @@
     }
 }
 
-const fn unrun(attempt: Attempt, end: Outcome) -> AttemptResult {
+const fn unstarted_result(attempt: Attempt, end: Outcome) -> AttemptResult {
     AttemptResult {
         attempt,
         outcome: end,
--- a/crates/cassiarock-transient/src/host/run.rs
+++ b/crates/cassiarock-transient/src/host/run.rs
@@ -110,7 +110,7 @@
 /// An attempt on the upstream.
 #[derive(Clone, Debug)]
 pub struct Run {
-    pub(super) owner: Process,
+    pub(super) entry: Process,
     pub(super) request: Name,
     pub(super) demand: Resources,
     pub(super) expected: Duration,
@@ -119,48 +119,48 @@
     pub(super) since: Duration,
     pub(super) phase: Phase,
     /// Whether the upstream has listed it as running.
-    pub(super) listed: bool,
+    pub(super) is_listed: bool,
     /// When the upstream answered its stop.
-    pub(super) stopped: Option<Duration>,
+    pub(super) stop_confirmed_at: Option<Duration>,
     /// Since when its order has been on its way to a life of the upstream that has ended: the next
     /// life may carry it out.
-    pub(super) in_flight: Option<Duration>,
+    pub(super) in_flight_since: Option<Duration>,
 }
 
 impl Run {
-    pub(super) fn new(owner: Process, request: Name, start: &Start, now: Duration) -> Self {
+    pub(super) fn new(entry: Process, request: Name, start: &Start, now: Duration) -> Self {
         Self {
-            owner,
+            entry,
             request,
             demand: start.demand,
             expected: start.expected,
             suspect: start.suspect.clone(),
             since: now,
             phase: Phase::Starting,
-            listed: false,
-            stopped: None,
-            in_flight: None,
+            is_listed: false,
+            stop_confirmed_at: None,
+            in_flight_since: None,
         }
     }
 
     /// Whether no answer has shown that it ran: its order may still be carried out.
     const fn is_unanswered(&self) -> bool {
-        !self.listed && !matches!(self.phase, Phase::Running)
+        !self.is_listed && !matches!(self.phase, Phase::Running)
     }
 
     /// The same, as what a new life of the upstream may carry out yet.
     pub(super) fn into_in_flight(self, now: Duration) -> Self {
         Self {
             phase: Phase::Stopping(now),
-            stopped: None,
-            in_flight: Some(now),
+            stop_confirmed_at: None,
+            in_flight_since: Some(now),
             ..self
         }
     }
 
     /// Since when its order cannot be carried out any more, if it was not before.
-    pub(super) fn void(&self) -> Option<Duration> {
-        self.stopped.or(self.in_flight)
+    pub(super) fn void_since(&self) -> Option<Duration> {
+        self.stop_confirmed_at.or(self.in_flight_since)
     }
 }
 
@@ -223,9 +223,12 @@
     }
 
     /// The attempts of `entry`.
-    pub(super) fn of<'a>(&'a self, entry: &'a Process) -> impl Iterator<Item = Attempt> + 'a {
+    pub(super) fn attempts_of<'a>(
+        &'a self,
+        entry: &'a Process,
+    ) -> impl Iterator<Item = Attempt> + 'a {
         let runs = self.runs.iter();
-        runs.filter(move |(_, run)| run.owner == *entry)
+        runs.filter(move |(_, run)| run.entry == *entry)
             .map(|(task, _)| task.attempt)
     }
 
@@ -235,13 +238,13 @@
         runs.any(|run| run.suspect.as_ref() == Some(suspect))
     }
 
-    pub(super) fn has(&self, entry: &Process) -> bool {
-        self.runs.values().any(|run| run.owner == *entry)
+    pub(super) fn has_entry(&self, entry: &Process) -> bool {
+        self.runs.values().any(|run| run.entry == *entry)
     }
 
     pub(super) fn find(&self, entry: &Process, attempt: &Attempt) -> Option<Task> {
         let mut runs = self.runs.iter();
-        let found = runs.find(|(task, run)| task.attempt == *attempt && run.owner == *entry);
+        let found = runs.find(|(task, run)| task.attempt == *attempt && run.entry == *entry);
         found.map(|(task, _)| task.clone())
     }
 
@@ -253,7 +256,7 @@
     }
 
     /// Another attempt at the same task, of whatever entry.
-    pub(super) fn same(&self, task: &Task) -> Option<Task> {
+    pub(super) fn find_same_task(&self, task: &Task) -> Option<Task> {
         let tasks = self.runs.keys();
         let mut same = tasks.filter(|other| {
             other.job == task.job
--- a/crates/cassiarock-transient/src/host/snapshots.rs
+++ b/crates/cassiarock-transient/src/host/snapshots.rs
@@ -10,22 +10,22 @@
 /// How long a poll waits for an end. While one poll is left unanswered no end is heard of: with
 /// long waits an upstream that leaves one call in twenty unanswered would keep its agent deaf
 /// nearly all the time.
-const WAIT: Duration = Duration::from_millis(40);
+const BUSY_POLL_WAIT: Duration = Duration::from_millis(40);
 
 /// The same where nothing runs that could end. The lease of a task that starts meanwhile is
 /// renewed in good time after it, and one such poll may stay unanswered before the upstream
 /// counts as silent.
-const IDLE_WAIT: Duration = Duration::from_millis(150);
+const IDLE_POLL_WAIT: Duration = Duration::from_millis(150);
 
 /// The pause after a poll that failed ...
-const PAUSE: Duration = Duration::from_millis(20);
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
 
 /// ... and the longest after several in a row: an upstream that is back is seen within it.
-const LONGEST_PAUSE: Duration = Duration::from_millis(160);
+const MAX_BACKOFF: Duration = Duration::from_millis(160);
 
 /// How long ends are kept for an entry whose link has broken. After `RECLAIM_DELAY` it no longer
 /// waits for them.
-const KEEP: Duration = Duration::from_secs(2);
+const RESULT_RETENTION: Duration = Duration::from_secs(2);
 
 /// The pause after so many polls in a row have failed.
 ///
@@ -40,7 +40,7 @@
 #[must_use]
 pub fn poll_backoff(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(u32::BITS - 1);
-    PAUSE.saturating_mul(1 << doublings).min(LONGEST_PAUSE)
+    MIN_BACKOFF.saturating_mul(1 << doublings).min(MAX_BACKOFF)
 }
 
 impl Host {
@@ -50,10 +50,10 @@
     /// a system with room.
     #[must_use]
     pub fn poll_wait(&self) -> Duration {
-        if self.is_known && self.runs.is_empty() {
-            IDLE_WAIT
+        if self.is_reconciled && self.runs.is_empty() {
+            IDLE_POLL_WAIT
         } else {
-            WAIT
+            BUSY_POLL_WAIT
         }
     }
 
@@ -66,22 +66,22 @@
     /// What the answer to a poll of the upstream showed.
     pub fn handle_snapshot(&mut self, snapshot: &Snapshot, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.accept(snapshot, now, &mut actions) {
+        if !self.accept_snapshot(snapshot, now, &mut actions) {
             return actions;
         }
-        self.lease.hear(Some(snapshot.clock), now);
+        self.lease.record_clock(Some(snapshot.clock), now);
         for (number, job, attempt, end) in &snapshot.ended {
-            if *number <= self.seen {
+            if *number <= self.last_seen_end {
                 continue;
             }
-            self.seen = *number;
+            self.last_seen_end = *number;
             if let Some(task) = self.runs.find_by_key(job, attempt) {
-                self.end(&task, *end, now, &mut actions);
+                self.finish(&task, *end, now, &mut actions);
             }
         }
         self.reconcile(snapshot, now, &mut actions);
-        if !self.is_known {
-            self.is_known = snapshot.running.is_empty();
+        if !self.is_reconciled {
+            self.is_reconciled = snapshot.running.is_empty();
         }
         actions
     }
@@ -99,7 +99,7 @@
             match self.runs.find_by_key(job, attempt) {
                 Some(task) => {
                     if let Some(run) = self.runs.get_mut(&task) {
-                        run.listed = true;
+                        run.is_listed = true;
                         if matches!(run.phase, Phase::Starting) {
                             run.phase = Phase::Running;
                         }
@@ -107,20 +107,20 @@
                 }
                 None => {
                     let task = Task::from_key(job, attempt);
-                    let told = Decision::new("stop", "", job.clone())
+                    let decision = Decision::new("stop", "", job.clone())
                         .with("task", &task)
                         .with("reason", "it runs unasked")
                         .failed();
-                    actions.push(Action::Log(told));
+                    actions.push(Action::Log(decision));
                     actions.push(Action::Stop(task));
                 }
             }
         }
-        self.end_unlisted(snapshot, now, actions);
+        self.finish_unlisted(snapshot, now, actions);
     }
 
     /// An attempt that was stopped, is not listed and whose order is void by now never ran.
-    pub(super) fn end_unlisted(
+    pub(super) fn finish_unlisted(
         &mut self,
         snapshot: &Snapshot,
         now: Duration,
@@ -130,7 +130,7 @@
             .runs
             .iter()
             .filter(|(task, run)| {
-                let is_void = run.void().is_some_and(|at| at <= snapshot.asked);
+                let is_void = run.void_since().is_some_and(|at| at <= snapshot.asked);
                 let is_listed = snapshot
                     .running
                     .iter()
@@ -143,18 +143,18 @@
             let Some(run) = self.runs.get(&task) else {
                 continue;
             };
-            let end = match (run.in_flight, run.listed) {
+            let end = match (run.in_flight_since, run.is_listed) {
                 (Some(_), _) => Outcome::Lost,
                 (None, false) => Outcome::Refused,
                 (None, true) => Outcome::Stopped,
             };
-            self.end(&task, end, now, actions);
+            self.finish(&task, end, now, actions);
         }
     }
 
     /// Ends everything once the leases must have lapsed: the upstream has not answered, and
     /// what ran there is over by its own clock.
-    pub(super) fn lapse(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn expire_leases(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.runs.is_empty() || !self.lease.has_lapsed(now) {
             return;
         }
@@ -166,7 +166,7 @@
         );
     }
 
-    pub(super) fn end(
+    pub(super) fn finish(
         &mut self,
         task: &Task,
         end: Outcome,
@@ -179,36 +179,36 @@
         let ran = now.saturating_sub(run.since);
         // A start that its upstream left unanswered or a stop that was ordered say nothing of
         // the upstream's health, a failure does.
-        self.health.end(&task.job, end, ran, run.expected, now);
+        self.health.record(&task.job, end, ran, run.expected, now);
         if !matches!(end, Outcome::Done) {
-            let told = Decision::new("ended", run.request.clone(), task.job.clone())
+            let decision = Decision::new("ended", run.request.clone(), task.job.clone())
                 .with("task", task)
                 .with("end", format_args!("{end:?}"))
                 .with("ran_ms", ran.as_millis())
                 .with("expected_ms", run.expected.as_millis());
-            actions.push(Action::Log(told));
+            actions.push(Action::Log(decision));
         }
         let result = AttemptResult {
             attempt: task.attempt,
             outcome: end,
             ran,
         };
-        self.end_all(&run.owner, vec![result], now, actions);
+        self.report_results(&run.entry, vec![result], now, actions);
     }
 
-    pub(super) fn end_all(
+    pub(super) fn report_results(
         &mut self,
         entry: &Process,
         results: Vec<AttemptResult>,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let owner = self.owners.entry(entry.clone()).or_default();
-        owner.keep(&results, now, KEEP);
-        if !owner.is_linked {
+        let state = self.entries.entry(entry.clone()).or_default();
+        state.retain_results(&results, now, RESULT_RETENTION);
+        if !state.is_linked {
             return;
         }
-        owner.told = now;
+        state.last_load_sent = now;
         // Ends of one poll go in one message, with the room after the last of them.
         if let Some(Action::Send(
             to,
@@ -227,17 +227,17 @@
         let frees_room = results.iter().any(|result| !result.outcome.is_unstarted());
         if frees_room {
             match self.hold(now, actions) {
-                Some(other) if other != *entry => self.beat(&other, now, actions),
+                Some(other) if other != *entry => self.send_heartbeat(&other, now, actions),
                 Some(_) => {}
-                None if !self.has_offer() => self.tell_another(entry, now, actions),
+                None if !self.has_offer() => self.notify_another_entry(entry, now, actions),
                 None => {}
             }
         }
-        let message = self.ended(entry, results, now);
+        let message = self.ended_message(entry, results, now);
         actions.push(Action::Send(entry.clone(), message));
     }
 
-    pub(super) fn ended(
+    pub(super) fn ended_message(
         &self,
         entry: &Process,
         results: Vec<AttemptResult>,
--- a/crates/cassiarock-transient/src/host/upstream.rs
+++ b/crates/cassiarock-transient/src/host/upstream.rs
@@ -8,24 +8,24 @@
 use std::time::Duration;
 
 /// A task is overdue after this many times what was expected of it, ...
-const OVERDUE: f64 = 2.5;
+const OVERDUE_FACTOR: f64 = 2.5;
 
 /// ... and this much more: estimates are off by 40%, and short tasks by a poll's wait.
-const OVERDUE_LEAST: Duration = Duration::from_millis(120);
+const OVERDUE_MIN_DELAY: Duration = Duration::from_millis(120);
 
 /// So many overdue tasks that are half of all that run tell of the upstream, not of the tasks.
-const STALLED: usize = 2;
+const MIN_STALLED_TASKS: usize = 2;
 
 /// What is told of such an upstream, in hundredths of what was expected: well over the bound
 /// at which entries keep tasks away and move those that are there.
-const STALLED_PACE: u16 = 400;
+const STALLED_SLOWDOWN_PERCENT: u16 = 400;
 
 impl Host {
     /// This agent takes no new work any more.
     pub fn leave(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.is_leaving = true;
-        self.tell_upstream(&mut actions, "the agent is leaving");
+        self.announce_upstream(&mut actions, "the agent is leaving");
         actions
     }
 
@@ -46,7 +46,7 @@
         } else {
             "the data centre may be used again"
         };
-        self.tell_upstream(&mut actions, reason);
+        self.announce_upstream(&mut actions, reason);
         actions
     }
 
@@ -71,30 +71,30 @@
     ) {
         let tasks: Vec<Task> = self.runs.iter().map(|(task, _)| task.clone()).collect();
         if !tasks.is_empty() {
-            let told = Decision::new("all lost", "", "")
+            let decision = Decision::new("all lost", "", "")
                 .with("reason", reason)
                 .with("tasks", tasks.len())
                 .failed();
-            actions.push(Action::Log(told));
+            actions.push(Action::Log(decision));
         }
         for task in tasks {
-            self.end(&task, end, now, actions);
+            self.finish(&task, end, now, actions);
         }
     }
 
-    pub(super) fn tell_upstream(&mut self, actions: &mut Vec<Action>, reason: &'static str) {
+    pub(super) fn announce_upstream(&mut self, actions: &mut Vec<Action>, reason: &'static str) {
         let upstream = self.upstream();
-        let mut told = Decision::new("upstream", "", "").with("reason", reason);
+        let mut decision = Decision::new("upstream", "", "").with("reason", reason);
         if let Some(upstream) = &upstream {
-            told = told
+            decision = decision
                 .with("upstream", upstream.incarnation())
                 .with("service", &upstream.service)
                 .with("cpu", upstream.capacity.cpu)
                 .with("leaving", upstream.is_leaving);
         }
-        actions.push(Action::Log(told));
-        for (entry, owner) in &self.owners {
-            if owner.is_linked {
+        actions.push(Action::Log(decision));
+        for (entry, state) in &self.entries {
+            if state.is_linked {
                 let message = Message::Upstream(self.upstream_for(entry));
                 actions.push(Action::Send(entry.clone(), message));
             }
@@ -104,8 +104,8 @@
     /// The upstream as one entry is to see it.
     pub(super) fn upstream_for(&self, entry: &Process) -> Option<Upstream> {
         let mut upstream = self.upstream()?;
-        let owner = self.owners.get(entry);
-        upstream.is_leaving |= owner.is_some_and(|owner| owner.is_retired);
+        let state = self.entries.get(entry);
+        upstream.is_leaving |= state.is_some_and(|state| state.is_retired);
         Some(upstream)
     }
 
@@ -118,17 +118,21 @@
 
     /// The pace that tasks show which have not ended: an upstream on which everything stands
     /// still ends none, and would look as good as before.
-    fn stalled(&self, now: Duration) -> u16 {
+    fn stalled_slowdown(&self, now: Duration) -> u16 {
         let is_overdue = |run: &Run| {
             let bound = run
                 .expected
-                .mul_f64(OVERDUE)
-                .max(run.expected + OVERDUE_LEAST);
+                .mul_f64(OVERDUE_FACTOR)
+                .max(run.expected + OVERDUE_MIN_DELAY);
             now >= run.since + bound
         };
         let overdue = self.runs.iter().filter(|(_, run)| is_overdue(run)).count();
-        let is_stalled = overdue >= STALLED && overdue * 2 >= self.runs.len();
-        if is_stalled { STALLED_PACE } else { 0 }
+        let is_stalled = overdue >= MIN_STALLED_TASKS && overdue * 2 >= self.runs.len();
+        if is_stalled {
+            STALLED_SLOWDOWN_PERCENT
+        } else {
+            0
+        }
     }
 
     pub(super) fn free(&self) -> Resources {
@@ -141,7 +145,7 @@
     /// Whether new tasks may start on the upstream.
     pub(super) fn is_open(&self, now: Duration) -> bool {
         let worker = self.worker.as_ref();
-        self.is_known
+        self.is_reconciled
             && !self.lease.is_silent(now)
             && !self.is_closed()
             && worker.is_some_and(|worker| worker.is_present() && !worker.is_leaving)
@@ -149,16 +153,23 @@
 
     pub(super) fn load(&self, entry: &Process, now: Duration) -> Load {
         let is_open = self.is_open(now);
-        let entries = self.owners.values().filter(|owner| owner.is_linked).count();
+        let entries = self
+            .entries
+            .values()
+            .filter(|state| state.is_linked)
+            .count();
         Load {
-            last_serial: self.owners.get(entry).map_or(0, |owner| owner.serial),
+            last_serial: self.entries.get(entry).map_or(0, |state| state.serial),
             free: if is_open {
                 self.free_for(entry, now)
             } else {
                 Resources::default()
             },
-            failure_percent: self.health.failing(now),
-            slowdown_percent: self.health.pace().max(self.stalled(now)),
+            failure_percent: self.health.failure_percent(now),
+            slowdown_percent: self
+                .health
+                .slowdown_percent()
+                .max(self.stalled_slowdown(now)),
             entries: u16::try_from(entries).unwrap_or(u16::MAX),
             is_offered: is_open && self.is_offered(entry, now),
         }
--- a/crates/cassiarock-transient/src/host/worker.rs
+++ b/crates/cassiarock-transient/src/host/worker.rs
@@ -6,7 +6,7 @@
 
 /// Former lives that are remembered, so that a report that a broken network held up is not
 /// taken for a new life.
-const LIVES: usize = 16;
+const MAX_PREVIOUS_INCARNATIONS: usize = 16;
 
 /// One life of the upstream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -63,12 +63,15 @@
     pub(super) fn incarnations(&self) -> Vec<Incarnation> {
         let mut incarnations = self.previous_incarnations.clone();
         incarnations.push(self.incarnation());
-        let forgotten = incarnations.len().saturating_sub(LIVES);
+        let forgotten = incarnations.len().saturating_sub(MAX_PREVIOUS_INCARNATIONS);
         incarnations.drain(..forgotten);
         incarnations
     }
 
-    pub(super) fn after(self, previous_incarnations: Vec<Incarnation>) -> Self {
+    pub(super) fn with_previous_incarnations(
+        self,
+        previous_incarnations: Vec<Incarnation>,
+    ) -> Self {
         Self {
             previous_incarnations,
             ..self
@@ -76,7 +79,7 @@
     }
 
     /// A later report of the life that `known` describes.
-    pub(super) fn following(self, known: Self) -> Self {
+    pub(super) fn with_history_of(self, known: Self) -> Self {
         Self {
             started_at: self.started_at.or(known.started_at),
             previous_incarnations: known.previous_incarnations,
--- a/crates/cassiarock-transient/src/incarnation.rs
+++ b/crates/cassiarock-transient/src/incarnation.rs
@@ -1,12 +1,12 @@
-//! Lives of an upstream.
+//! Incarnations of an upstream.
 
 use cassiarock_id::Name;
 use std::fmt;
 
-/// One life of an upstream: from its start to its end.
+/// One incarnation of an upstream, from its start to its end.
 ///
-/// An upstream that starts again may keep its id. Then only the time of its start tells its
-/// lives apart.
+/// An upstream that restarts may keep its id. Then only the start time tells its incarnations
+/// apart.
 ///
 /// ```
 /// use cassiarock_transient::Incarnation;
@@ -20,12 +20,13 @@
 pub struct Incarnation {
     /// The upstream's id.
     pub id: Name,
-    /// When it started, in milliseconds since 1970 by its own clock, if it says so.
+    /// The start time by the upstream's own clock, in milliseconds since the Unix epoch, if it
+    /// reports one.
     pub started_at: Option<u64>,
 }
 
 impl Incarnation {
-    /// A life of the upstream with this id, of which no time of start is known.
+    /// An incarnation of the upstream with this id, without a known start time.
     #[must_use]
     pub fn new(id: impl Into<Name>) -> Self {
         Self {
@@ -34,20 +35,20 @@
         }
     }
 
-    /// The same that started then.
+    /// Sets the start time.
     #[must_use]
     pub fn with_started_at(self, started_at: Option<u64>) -> Self {
         Self { started_at, ..self }
     }
 
-    /// Whether the two are known to be different lives.
+    /// Whether the two are known to be different incarnations.
     #[must_use]
     pub fn differs_from(&self, other: &Self) -> bool {
         self.id != other.id
             || matches!((self.started_at, other.started_at), (Some(a), Some(b)) if a != b)
     }
 
-    /// Whether it started before `other`, as far as the clocks of upstreams tell.
+    /// Whether this incarnation started before `other`; false if either start time is unknown.
     #[must_use]
     pub fn started_before(&self, other: &Self) -> bool {
         matches!((self.started_at, other.started_at), (Some(own), Some(other)) if own < other)
--- a/crates/cassiarock-transient/src/lib.rs
+++ b/crates/cassiarock-transient/src/lib.rs
@@ -1,4 +1,5 @@
-//! The decisions for transient jobs: admit, order, place, retry, stop; without I/O or clock.
+//! Decision logic for transient jobs: admission, ordering, placement, retries and stops. It
+//! performs no I/O and reads no clock.
 
 mod decision;
 pub mod directory;
--- a/crates/cassiarock-transient/src/message.rs
+++ b/crates/cassiarock-transient/src/message.rs
@@ -1,4 +1,4 @@
-//! What entries and agents tell each other about transient jobs.
+//! Messages between entries and agents about transient jobs.
 
 use crate::{Incarnation, Resources, directory, evacuation};
 use cassiarock_id::Name;
@@ -6,43 +6,44 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 use std::time::Duration;
 
-/// One attempt at one task, by the entry's own number of the job: a job that is submitted
-/// again has another number, so that late news of the first cannot be taken for the second's.
+/// One attempt at one task. The job is identified by the number that its entry gave it: a job that
+/// is submitted again gets another number, so that late messages about the first submission can't
+/// be taken for the second.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Attempt {
-    /// The entry's number of the job.
+    /// The number that the entry gave the job.
     pub number: u64,
-    /// The stage.
+    /// The stage of the job.
     pub stage: u32,
-    /// The task within its stage.
+    /// The task's index within its stage.
     pub index: u32,
-    /// The number of the task's start; it rises from start to start.
+    /// The number of this start of the task; it increases with each start.
     pub attempt: u32,
 }
 
-/// A task to start.
+/// A task to start, with its resource demand.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Start {
-    /// The stage.
+    /// The stage of the job.
     pub stage: u32,
-    /// The task within its stage.
+    /// The task's index within its stage.
     pub index: u32,
-    /// The number of the task's start.
+    /// The number of this start of the task.
     pub attempt: u32,
-    /// What it takes.
+    /// The resources that the task takes.
     pub demand: Resources,
-    /// How long it should run.
+    /// The expected run time.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub expected: Duration,
-    /// The agent whose upstream was lost with it and with others that may have crashed it: no two
-    /// of them are to run together.
+    /// Set if the task may have crashed an upstream: the agent of the upstream that was lost with
+    /// this task and others. Tasks with the same value must not run together.
     #[serde(default)]
     pub suspect: Option<Name>,
 }
 
 impl Start {
-    /// The attempt of the job with this number that it starts.
+    /// The attempt that this starts, for the job with this number.
     #[must_use]
     pub const fn of(&self, number: u64) -> Attempt {
         Attempt {
@@ -54,72 +55,73 @@
     }
 }
 
-/// What an entry would start next, if it had room.
+/// A request for capacity: the tasks that an entry would start next if it had room for them.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CapacityRequest {
-    /// Whether it will be late in any case.
+    /// Whether the job will be late in any case.
     pub is_late: bool,
-    /// Whether nothing of its job is placed yet.
+    /// Whether none of the job's tasks has been placed yet.
     pub is_unstarted: bool,
-    /// Whether its caller had waited before it came.
+    /// Whether the caller had already waited before it submitted the job.
     pub has_waited: bool,
-    /// The operators' priority.
+    /// The priority that operators configured; 0 is the most urgent.
     pub urgency: u32,
-    /// The time left until it has to start.
+    /// The time left until the job has to start.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub left: Duration,
-    /// What each task takes.
+    /// The resources that each task takes.
     pub demand: Resources,
-    /// How many tasks wait.
+    /// The number of waiting tasks.
     pub tasks: u32,
 }
 
-/// Tasks of one job to start on one upstream.
+/// An order to start tasks of one job on one upstream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Order {
-    /// The entry's number of the job.
+    /// The number that the entry gave the job.
     pub number: u64,
     /// The job's id.
     pub job: Name,
     /// The caller's id of the request.
     pub request: Name,
-    /// What the tasks are told.
+    /// The specification that is passed to the tasks.
     pub spec: Name,
     /// The tasks.
     pub tasks: Vec<Start>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Outcome {
-    /// The task is done.
+    /// The task completed.
     Done,
     /// It ran and failed.
     Failed,
     /// It was stopped.
     Stopped,
-    /// It was broken off: the upstream ended as announced, or its lease lapsed unanswered.
+    /// It was interrupted: the upstream ended as announced, or its lease expired without an answer.
     Lost,
-    /// It was broken off with all that ran beside it: the upstream stopped answering, or started
-    /// again.
+    /// It was interrupted with everything that ran beside it: the upstream stopped answering, or
+    /// restarted.
     Crashed,
-    /// It never started: no room.
+    /// It never started: the upstream had too little free capacity.
     Full,
     /// It never started: the upstream takes no new work.
     Closed,
     /// It never started: the order was too old when it arrived.
     Stale,
-    /// It never started: an earlier attempt at the same task is still being stopped there.
+    /// It never started: an earlier attempt at the same task is still being stopped on that
+    /// upstream.
     Busy,
-    /// It never started: the upstream has seen a higher attempt.
+    /// It never started: the upstream has already seen a higher attempt number.
     Passed,
-    /// It never started: the upstream turned it away or did not answer.
+    /// It never started: the upstream rejected it or did not answer.
     Refused,
 }
 
 impl Outcome {
-    /// Whether the attempt never ran.
+    /// Whether the attempt was never started.
     #[must_use]
     pub const fn is_unstarted(self) -> bool {
         !matches!(
@@ -129,62 +131,63 @@
     }
 }
 
-/// The end of an attempt.
+/// The outcome of one attempt and its run time.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AttemptResult {
-    /// Which.
+    /// The attempt.
     pub attempt: Attempt,
-    /// How.
+    /// How the attempt ended.
     #[serde(rename = "end")]
     pub outcome: Outcome,
-    /// How long it ran.
+    /// The run time.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub ran: Duration,
 }
 
-/// What an agent's upstream can take now.
+/// The state of an agent's upstream as one entry needs it for placing tasks.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Load {
-    /// The last orders of the receiving entry that are counted in.
+    /// The serial number of the receiving entry's last [`Message::Orders`] that `free` accounts
+    /// for.
     #[serde(rename = "seen")]
     pub last_serial: u64,
-    /// Room for new tasks; nothing if the upstream is leaving.
+    /// Free capacity for new tasks; zero while the upstream accepts none.
     pub free: Resources,
-    /// The share of its latest tasks that failed, in hundredths.
+    /// The percentage of its latest tasks that failed.
     #[serde(rename = "failing")]
     pub failure_percent: u8,
-    /// How long its tasks run, in hundredths of what was expected of them.
+    /// The run time of its tasks as a percentage of the expected run time; above 100 is slower.
     #[serde(rename = "pace")]
     pub slowdown_percent: u16,
-    /// How many entries place tasks on it.
+    /// The number of entries linked to the agent.
     pub entries: u16,
-    /// Whether room is held for the receiving entry for a moment.
+    /// Whether the agent is holding free capacity for the receiving entry for a short time.
     #[serde(default)]
     pub is_offered: bool,
 }
 
-/// What an agent's upstream is.
+/// Description of an agent's upstream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Upstream {
-    /// Its id.
+    /// The upstream's id.
     pub id: Name,
-    /// When it started, in milliseconds since 1970, if it says so: an upstream that starts again
-    /// may keep its id.
+    /// The start time in milliseconds since the Unix epoch, if the upstream reports one: an
+    /// upstream that restarts may keep its id.
     #[serde(default, rename = "born")]
     pub started_at: Option<u64>,
     /// The pool that it belongs to.
     pub service: Name,
-    /// All its room.
+    /// The total capacity.
     pub capacity: Resources,
-    /// Its kind, its rack and other labels.
+    /// Kind, rack and other labels.
     pub labels: Vec<Name>,
     /// Whether it takes no new work.
     pub is_leaving: bool,
 }
 
 impl Upstream {
-    /// Its life.
+    /// The upstream's incarnation.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         Incarnation::new(self.id.clone()).with_started_at(self.started_at)
@@ -194,28 +197,28 @@
 /// A message about transient jobs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// Entry to agent: start these.
+    /// Entry to agent: start these tasks.
     Orders {
-        /// The number of this message on its link.
+        /// The serial number of this message on its link.
         serial: u64,
-        /// The agent's clock as last heard, in milliseconds.
+        /// The agent's clock in milliseconds, as the entry last received it.
         echo: u64,
         /// The orders.
         orders: Vec<Order>,
-        /// What the entry waits for besides.
+        /// What the entry would start next if it had capacity.
         #[serde(default)]
         ask: Option<CapacityRequest>,
     },
-    /// Entry to agent: stop these; nobody waits for them any more.
+    /// Entry to agent: stop these attempts; their results are no longer needed.
     Halt(Vec<Attempt>),
     /// Entry to agent: a heartbeat.
     #[serde(rename = "EntryBeat")]
     EntryHeartbeat {
-        /// The agent's clock as last heard, in milliseconds.
+        /// The agent's clock in milliseconds, as the entry last received it.
         echo: u64,
         /// The version of the configuration in force at the entry.
         version: u64,
-        /// What the entry waits for, if it asks this agent for room.
+        /// What the entry would start next, if it asks this agent for capacity.
         #[serde(default)]
         ask: Option<CapacityRequest>,
     },
@@ -224,40 +227,41 @@
     AgentHeartbeat {
         /// The agent's clock in milliseconds.
         clock: u64,
-        /// What its upstream can take.
+        /// The state of the agent's upstream.
         load: Load,
     },
-    /// Agent to entry: what its upstream is, if it has one.
+    /// Agent to entry: a description of its upstream, if it has one.
     Upstream(Option<Upstream>),
-    /// Agent to entry: ends of attempts, and what the upstream can take after them.
+    /// Agent to entry: results of attempts, and the state of the upstream after the last of them.
     Ended {
         /// The agent's clock in milliseconds.
         clock: u64,
-        /// The ends.
+        /// The results.
         #[serde(rename = "endings")]
         results: Vec<AttemptResult>,
-        /// What its upstream can take.
+        /// The state of the agent's upstream.
         load: Load,
     },
-    /// Agent to entry on a new link: all attempts of this entry that the agent still has.
+    /// Agent to entry on a new link: all attempts of this entry that the agent runs or holds
+    /// results of.
     Held(Vec<Attempt>),
-    /// Send me your configuration.
+    /// Requests the receiver's configuration.
     AskConfiguration,
-    /// A configuration.
+    /// A configuration, in reply to [`Message::AskConfiguration`].
     Configuration {
         /// Its version.
         version: u64,
-        /// Its text as the platform's store holds it, compressed.
+        /// The text as the platform's store holds it, compressed.
         #[serde(with = "serde_bytes")]
         packed: Vec<u8>,
     },
-    /// Entry to agent: the addresses of entries that it is linked to, whether they have been able
-    /// to announce themselves or not.
+    /// Entry to agent: the addresses of entries that it is linked to, including those that could
+    /// not announce themselves in the directory.
     Entries(Vec<directory::Endpoint>),
-    /// Entry to agent: what has changed in the directory of entries.
+    /// Entry to agent: changes in the directory of entries.
     Directory(directory::Update),
-    /// Agent to entry: send me the whole directory of entries.
+    /// Agent to entry: requests the whole directory of entries.
     AskDirectory,
-    /// Entry to entry or agent: which data centres operators are emptying.
+    /// Entry to entry or agent: the data centres that operators are evacuating.
     Evacuations(evacuation::State),
 }
--- a/crates/cassiarock-transient/src/roster.rs
+++ b/crates/cassiarock-transient/src/roster.rs
@@ -1,14 +1,15 @@
-//! Which entries an agent links to, and which others an entry.
+//! Chooses the entries that an agent or another entry keeps links to.
 //!
-//! The load that this answers is that of the links themselves: each takes a heartbeat each way
-//! every 100 ms where nothing else is said. Where each agent was linked to each of 64 entries,
-//! an entry spent three fifths of its processor share and an agent a third of its own, and
-//! both grew with the number of VMs. Each agent links to a few entries instead, in an order of
-//! its own, so that an entry has the same number of agents at any size of the system.
+//! It limits the load of the links themselves: each link carries a heartbeat in each direction
+//! every 100 ms unless other messages are sent. When each agent was linked to each of 64 entries,
+//! heartbeats took three fifths of an entry's processor share and a third of an agent's, and both
+//! grew with the number of VMs. So each agent links to a few entries only, in an order of its own,
+//! and an entry has the same number of agents at any size of the system.
 //!
-//! Half of them are in its own data centre, if there are so many: what orders, ends and heartbeats
-//! weigh between data centres, and how long they take, would else grow with the number of data
-//! centres. The other half level the load and bear the loss of a data centre.
+//! Half of an agent's links go to entries in its own data centre, if there are enough. Otherwise
+//! the traffic of orders, results and heartbeats between data centres, and their delay, would grow
+//! with the number of data centres. The other half balances the load and keeps the agent reachable
+//! if its data centre loses its entries.
 
 use cassiarock_id::{Name, Process};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,90 +17,92 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Links of an entry to others: all are reached over few of them in turn, at any number of
-/// entries. They carry configurations and operators' orders where the store brings none.
+/// Number of entries that an entry dials. Each entry reaches all others over a few such links in
+/// turn, at any number of entries. They carry configurations and operators' orders that the store
+/// does not deliver.
 pub const LINKS_PER_ENTRY: usize = 3;
 
-/// Links of an agent. Up to so many entries are all linked. With four agents to an entry, as
-/// at the users' sites, an entry has 48 agents; one that has by chance half of that still has
-/// room for 200 tasks.
+/// Number of entries that an agent links to; with this many entries or fewer it links to all. With
+/// four agents per entry, as at the users' sites, an entry has 48 agents; one that happens to have
+/// half of that still has capacity for 200 tasks.
 pub const LINKS_PER_AGENT: usize = 12;
 
-/// Addresses that are remembered; the aim is some 600 entries.
-const ENTRIES: usize = 4_096;
+/// Maximum number of known addresses; the system is designed for some 600 entries.
+const MAX_ENTRIES: usize = 4_096;
 
-/// Dials that may fail at a time. An agent that is cut off from all entries would otherwise
-/// dial all that it knows.
-const FAILING: usize = 32;
+/// Maximum number of concurrent failing dials. Without it an agent that is cut off from all entries
+/// would dial every address that it knows.
+const MAX_FAILING_DIALS: usize = 32;
 
-/// How long a dial counts as a link to come: a restarted entry is back within it.
-const FRESH: Duration = Duration::from_secs(1);
+/// How long a dialled entry counts as about to be linked: a restarted entry is back within this
+/// time.
+const DIAL_GRACE: Duration = Duration::from_secs(1);
 
-/// How long a link is kept beyond the wanted ones: while one entry after the other is
-/// replaced, each change of links would cost more than the links.
-const SURPLUS: Duration = Duration::from_secs(10);
+/// How long a surplus link is kept. While entries are replaced one after the other, each change of
+/// links would cost more than keeping the link.
+const SURPLUS_RETENTION: Duration = Duration::from_secs(10);
 
-/// How long a link is kept on which the entry has been told to place nothing more: what it
-/// sent before it read that has come.
-const RETIRING: Duration = Duration::from_secs(1);
+/// How long a link stays open after its entry was told to place nothing more: by then all that the
+/// entry sent before it read that message has arrived.
+const RETIRE_DELAY: Duration = Duration::from_secs(1);
 
-/// The pause between two looks at all entries.
-const CHECK: Duration = Duration::from_millis(250);
+/// The interval between two checks of all entries.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is to be done about an entry.
+/// A change to the links that the caller has to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LinkAction {
-    /// Keep a link to the entry at this address.
+    /// Dial the entry at this address until it is linked, and keep the link.
     Dial(SocketAddr),
-    /// Keep none any more.
+    /// Close the link to this address, or stop dialling it.
     Drop(SocketAddr),
-    /// Tell the entry that it gets no more room here.
+    /// Tell the entry to place no more tasks here.
     Retire(Process),
-    /// Tell it that it does again.
+    /// Tell the entry that it may place tasks here again.
     Resume(Process),
 }
 
-/// The entries that a process knows, and its links to some of them.
+/// The entries that a process knows, and the state of its links to them.
 #[derive(Clone, Debug)]
 pub struct Roster {
     owner: Name,
-    /// How many links are wanted.
+    /// The target number of links.
     links: usize,
     entries: BTreeMap<Rank, Entry>,
     ranks: BTreeMap<SocketAddr, Rank>,
-    checked: Option<Duration>,
+    last_check: Option<Duration>,
 }
 
-/// The place of an entry in the agent's own order. Each agent has another one, so that the
-/// links of all spread evenly; and the same one in each life, so that they stay.
+/// The position of an entry in the order of one agent. The order differs between agents, so that
+/// links spread evenly over entries, and survives restarts of the agent, so that links stay.
 type Rank = (u64, SocketAddr);
 
-/// An entry, as an agent knows it.
+/// A known entry and the state of the link to it.
 #[derive(Clone, Debug)]
 struct Entry {
-    /// Whether it is in the agent's own data centre, as far as is known.
+    /// Whether the entry is known to be in the agent's own data centre.
     is_near: bool,
-    seat: Seat,
+    state: LinkState,
 }
 
 #[derive(Clone, Debug, Eq, PartialEq)]
-enum Seat {
-    /// Not dialled.
-    Known,
-    /// Dialled since then.
-    Dialled(Duration),
+enum LinkState {
+    /// Neither linked nor dialled.
+    Idle,
+    /// Being dialled since this time.
+    Dialling(Duration),
     Linked {
         entry: Process,
         serial: u64,
-        /// Since when it has not been among the wanted ones.
+        /// Since when it has not been among the selected entries.
         surplus: Option<Duration>,
-        /// Since when the entry has been told to place nothing.
+        /// When the entry was told to place no more tasks.
         retired: Option<Duration>,
     },
 }
 
 impl Roster {
-    /// The roster of a process with this name, without entries.
+    /// An empty roster for the process with this name.
     ///
     /// ```
     /// use cassiarock_transient::roster::{LinkAction, Roster};
@@ -118,59 +121,60 @@
             links: LINKS_PER_AGENT,
             entries: BTreeMap::new(),
             ranks: BTreeMap::new(),
-            checked: None,
+            last_check: None,
         }
     }
 
-    /// The same with this many links.
+    /// Sets the target number of links.
     #[must_use]
     pub fn with_links(self, links: usize) -> Self {
         Self { links, ..self }
     }
 
-    /// An entry takes links there, in the agent's own data centre or, as far as is known, not.
-    /// Answers whether that is news; not if too many are known.
+    /// Adds an entry that accepts links at `address`. `is_near` says whether it is known to be in
+    /// the agent's own data centre. Returns whether the address is new; false also if too many
+    /// addresses are known.
     pub fn add(&mut self, address: SocketAddr, is_near: bool) -> bool {
         let rank = self.ranks.get(&address);
         if let Some(entry) = rank.and_then(|rank| self.entries.get_mut(rank)) {
             entry.is_near |= is_near;
             return false;
         }
-        if self.ranks.len() >= ENTRIES {
+        if self.ranks.len() >= MAX_ENTRIES {
             return false;
         }
         let mut hasher = DefaultHasher::new();
         (&self.owner, address).hash(&mut hasher);
         let rank = (hasher.finish(), address);
         self.ranks.insert(address, rank);
-        let seat = Seat::Known;
-        self.entries.insert(rank, Entry { is_near, seat });
-        self.checked = None;
+        let state = LinkState::Idle;
+        self.entries.insert(rank, Entry { is_near, state });
+        self.last_check = None;
         true
     }
 
-    /// The entry there has been gone for long. One that is linked lives, whatever is said.
+    /// Removes an entry that has been gone for long. An entry that is linked is alive and stays.
     pub fn remove(&mut self, address: SocketAddr) -> Option<LinkAction> {
         let rank = self.ranks.get(&address)?;
         let entry = self.entries.get(rank);
-        if entry.is_some_and(|entry| matches!(entry.seat, Seat::Linked { .. })) {
+        if entry.is_some_and(|entry| matches!(entry.state, LinkState::Linked { .. })) {
             return None;
         }
-        let was = self.entries.remove(rank);
+        let removed = self.entries.remove(rank);
         self.ranks.remove(&address);
-        let is_dialled = was.is_some_and(|was| was.seat != Seat::Known);
+        let is_dialled = removed.is_some_and(|removed| removed.state != LinkState::Idle);
         is_dialled.then_some(LinkAction::Drop(address))
     }
 
-    /// The dialled link with this serial number is open. One whose dial has been given up
-    /// meanwhile is about to end, and is not dialled again by itself.
+    /// Records that the dialled link with this serial number is open. If its dial has been given up
+    /// meanwhile, the link is about to close and is not redialled.
     pub fn link_opened(&mut self, address: SocketAddr, entry: Process, serial: u64) {
         let rank = self.ranks.get(&address);
         let known = rank.and_then(|rank| self.entries.get_mut(rank));
-        if let Some(Entry { seat, .. }) = known
-            && matches!(seat, Seat::Dialled(_))
+        if let Some(Entry { state, .. }) = known
+            && matches!(state, LinkState::Dialling(_))
         {
-            *seat = Seat::Linked {
+            *state = LinkState::Linked {
                 entry,
                 serial,
                 surplus: None,
@@ -179,40 +183,40 @@
         }
     }
 
-    /// The link with this serial number is gone; it is being dialled again.
-    pub fn link_closed(&mut self, gone: u64, now: Duration) {
-        for Entry { seat, .. } in self.entries.values_mut() {
-            if matches!(seat, Seat::Linked { serial, .. } if *serial == gone) {
-                *seat = Seat::Dialled(now);
-                self.checked = None;
+    /// Records that the link with this serial number has closed; the caller redials it.
+    pub fn link_closed(&mut self, closed: u64, now: Duration) {
+        for Entry { state, .. } in self.entries.values_mut() {
+            if matches!(state, LinkState::Linked { serial, .. } if *serial == closed) {
+                *state = LinkState::Dialling(now);
+                self.last_check = None;
             }
         }
     }
 
-    /// What is to be done, at most each quarter of a second. `has_tasks` tells whether an entry
-    /// has tasks here.
+    /// Returns the due link changes; checks at most every 250 ms. `has_tasks` says whether an entry
+    /// has tasks on this agent.
     pub fn poll(&mut self, now: Duration, has_tasks: impl Fn(&Process) -> bool) -> Vec<LinkAction> {
-        if self.checked.is_some_and(|at| now < at + CHECK) {
+        if self.last_check.is_some_and(|at| now < at + CHECK_INTERVAL) {
             return Vec::new();
         }
-        self.checked = Some(now);
+        self.last_check = Some(now);
         let wanted = self.wanted(now);
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         for (rank, entry) in &mut self.entries {
             let (_, address) = *rank;
-            let step = if wanted.contains(rank) {
-                want(address, &mut entry.seat, now)
+            let action = if wanted.contains(rank) {
+                keep_linked(address, &mut entry.state, now)
             } else {
-                give_up(address, &mut entry.seat, now, &has_tasks)
+                release(address, &mut entry.state, now, &has_tasks)
             };
-            steps.extend(step);
+            actions.extend(action);
         }
-        steps
+        actions
     }
 
-    /// The entries to be linked: near ones up to their share, then all by their ranks.
+    /// Selects the entries to link to: near ones up to half of the links, then any by rank.
     fn wanted(&self, now: Duration) -> BTreeSet<Rank> {
-        let mut wanted = Wanted::default();
+        let mut wanted = Selection::default();
         let near = self.entries.iter().filter(|(_, entry)| entry.is_near);
         wanted.fill(self.links / 2, near, now);
         wanted.fill(self.links, self.entries.iter(), now);
@@ -220,18 +224,19 @@
     }
 }
 
-/// Entries to be linked, as they are picked.
+/// The entries selected so far.
 #[derive(Debug, Default)]
-struct Wanted {
+struct Selection {
     ranks: BTreeSet<Rank>,
-    /// Of these, how many are linked or about to be.
-    sound: usize,
-    /// Of these, how many have not been linked for long.
+    /// The number of selected entries that are linked or about to be.
+    healthy: usize,
+    /// The number of selected entries whose dials have been failing for some time.
     failing: usize,
 }
 
-impl Wanted {
-    /// Picks the first of `entries` until so many are sound. Others stand in for failing ones.
+impl Selection {
+    /// Selects entries in order until `most` healthy ones are selected. Further ones replace
+    /// failing ones.
     fn fill<'a>(
         &mut self,
         most: usize,
@@ -239,35 +244,35 @@
         now: Duration,
     ) {
         for (rank, entry) in entries {
-            if self.sound >= most || self.failing >= FAILING {
+            if self.healthy >= most || self.failing >= MAX_FAILING_DIALS {
                 return;
             }
             if !self.ranks.insert(*rank) {
                 continue;
             }
-            if is_failing(&entry.seat, now) {
+            if is_failing(&entry.state, now) {
                 self.failing += 1;
             } else {
-                self.sound += 1;
+                self.healthy += 1;
             }
         }
     }
 }
 
-/// Whether the entry has not been linked for so long that another one is needed.
-fn is_failing(seat: &Seat, now: Duration) -> bool {
-    matches!(seat, Seat::Dialled(since) if now >= *since + FRESH)
+/// Whether dialling has failed for so long that another entry is needed.
+fn is_failing(state: &LinkState, now: Duration) -> bool {
+    matches!(state, LinkState::Dialling(since) if now >= *since + DIAL_GRACE)
 }
 
-/// The entry is among the wanted ones.
-fn want(address: SocketAddr, seat: &mut Seat, now: Duration) -> Option<LinkAction> {
-    match seat {
-        Seat::Known => {
-            *seat = Seat::Dialled(now);
+/// Dials a selected entry, or resumes it if it was retired.
+fn keep_linked(address: SocketAddr, state: &mut LinkState, now: Duration) -> Option<LinkAction> {
+    match state {
+        LinkState::Idle => {
+            *state = LinkState::Dialling(now);
             Some(LinkAction::Dial(address))
         }
-        Seat::Dialled(_) => None,
-        Seat::Linked {
+        LinkState::Dialling(_) => None,
+        LinkState::Linked {
             entry,
             surplus,
             retired,
@@ -279,20 +284,21 @@
     }
 }
 
-/// There are enough entries without this one.
-fn give_up(
+/// Stops dialling an entry that is not selected. Its link is first kept as surplus, then retired,
+/// then closed once the entry has no tasks here.
+fn release(
     address: SocketAddr,
-    seat: &mut Seat,
+    state: &mut LinkState,
     now: Duration,
     has_tasks: impl Fn(&Process) -> bool,
 ) -> Option<LinkAction> {
-    match seat {
-        Seat::Known => None,
-        Seat::Dialled(_) => {
-            *seat = Seat::Known;
+    match state {
+        LinkState::Idle => None,
+        LinkState::Dialling(_) => {
+            *state = LinkState::Idle;
             Some(LinkAction::Drop(address))
         }
-        Seat::Linked {
+        LinkState::Linked {
             entry,
             surplus,
             retired,
@@ -300,12 +306,12 @@
         } => {
             let since = *surplus.get_or_insert(now);
             match *retired {
-                None if now >= since + SURPLUS => {
+                None if now >= since + SURPLUS_RETENTION => {
                     *retired = Some(now);
                     Some(LinkAction::Retire(entry.clone()))
                 }
-                Some(told) if now >= told + RETIRING && !has_tasks(entry) => {
-                    *seat = Seat::Known;
+                Some(told) if now >= told + RETIRE_DELAY && !has_tasks(entry) => {
+                    *state = LinkState::Idle;
                     Some(LinkAction::Drop(address))
                 }
                 _ => None,
