--- a/crates/cassiarock-transient/src/host/entries.rs
+++ b/crates/cassiarock-transient/src/host/entries.rs
@@ -1,4 +1,4 @@
-//! Entries: their links, and what they are told.
+//! Links to entries, and the messages sent to them.
 
 use super::entry_state::EntryState;
 use super::{Action, Host, millis};
@@ -7,14 +7,15 @@
 use cassiarock_id::Process;
 use std::time::Duration;
 
-/// A heartbeat that is due within this time goes along with one that is due now.
+/// A heartbeat that is due within this time is sent together with one that is due now.
 const HEARTBEAT_COALESCING: Duration = Duration::from_millis(30);
 
-/// An entry that has been told of the room within this time knows enough of it.
+/// An entry that was sent the load within this time is not notified again.
 const RECENTLY_NOTIFIED: Duration = Duration::from_millis(10);
 
 impl Host {
-    /// A link to `entry` opened: tell it all it needs, and which of its attempts are here.
+    /// Handles a new link to `entry`: sends the upstream, the entry's attempts here, its retained
+    /// results and the load.
     pub fn link(&mut self, entry: &Process, now: Duration) -> Vec<Action> {
         let state = self.entries.entry(entry.clone()).or_default();
         state.link();
@@ -35,7 +36,7 @@
         actions
     }
 
-    /// A message of an entry; those that are not for an agent's host are left out.
+    /// Handles a message from an entry; messages that do not concern the host are ignored.
     pub fn handle_message(
         &mut self,
         entry: &Process,
@@ -67,15 +68,16 @@
         }
     }
 
-    /// The link to `entry` is gone. Its attempts go on for a while: it may come back.
+    /// Handles the loss of the link to `entry`. Its attempts continue for a while: the link may
+    /// come back.
     pub fn unlink(&mut self, entry: &Process) {
         if let Some(state) = self.entries.get_mut(entry) {
             state.is_linked = false;
         }
     }
 
-    /// The link to `entry` is to be closed, or is to be kept after all: the entry places
-    /// nothing here meanwhile.
+    /// Tells `entry` to place no more tasks here because its link is about to be closed, or that it
+    /// may do so again.
     pub fn set_retired(&mut self, entry: &Process, is_retired: bool) -> Vec<Action> {
         let Some(state) = self.entries.get_mut(entry) else {
             return Vec::new();
@@ -85,24 +87,24 @@
         vec![Action::Send(entry.clone(), message)]
     }
 
-    /// Whether tasks of `entry` are here.
+    /// Whether `entry` has tasks here.
     #[must_use]
     pub fn has_tasks(&self, entry: &Process) -> bool {
         self.runs.has_entry(entry)
     }
 
-    /// An entry's heartbeat.
+    /// Records the clock that a heartbeat of an entry echoes.
     pub fn record_echo(&mut self, entry: &Process, echo: Duration) {
         if let Some(state) = self.entries.get_mut(entry) {
             state.record_echo(echo);
         }
     }
 
-    /// A heartbeat to each entry that has been told nothing for a while. Ends carry the same,
-    /// so that under load few are needed.
+    /// Sends a heartbeat to each entry that has been sent nothing for a while. Results carry the
+    /// same load, so that few heartbeats are needed while tasks end.
     ///
-    /// The load that this answers is that of quiet links: with a time of its own for each, an
-    /// agent woke up for every heartbeat that it sent.
+    /// Heartbeats that are due at about the same time are sent together: with a separate time for
+    /// each quiet link, an agent woke up for every heartbeat that it sent.
     pub(super) fn send_due_heartbeats(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let linked = self.entries.iter().filter(|(_, state)| state.is_linked);
         let silent = |state: &EntryState| now.saturating_sub(state.last_load_sent);
@@ -119,12 +121,12 @@
         }
     }
 
-    /// Tells one entry more than `owner` of the room that an end has freed: the one that has
-    /// been told longest ago.
+    /// Notifies one entry other than `owner` of the capacity that a result has freed: the one that
+    /// was last sent the load longest ago.
     ///
-    /// The load that this answers is a nearly full system. An end is told to the entry whose
-    /// task it was, which may have nothing to place, and to others with the next heartbeat only,
-    /// up to a tenth of a second later, while their jobs wait.
+    /// This matters in a nearly full system. The entry whose task ended may have nothing to place,
+    /// and the others would learn of the free capacity only with the next heartbeat, up to 100 ms
+    /// later, while their jobs wait.
     pub(super) fn notify_another_entry(
         &mut self,
         state: &Process,
@@ -141,7 +143,8 @@
         }
     }
 
-    /// A heartbeat to each linked entry at once: its room has changed by no task's end.
+    /// Sends a heartbeat to each linked entry at once, after the free capacity changed without a
+    /// result.
     pub(super) fn send_heartbeat_to_all(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let linked = self.entries.iter().filter(|(_, state)| state.is_linked);
         let linked: Vec<Process> = linked.map(|(entry, _)| entry.clone()).collect();
--- a/crates/cassiarock-transient/src/host/entry_state.rs
+++ b/crates/cassiarock-transient/src/host/entry_state.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of an entry that places tasks on it.
+//! The agent's view of an entry that places tasks on it.
 
 use super::offer::PendingRequest;
 use crate::message::AttemptResult;
@@ -6,26 +6,26 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// An entry, as long as it is linked or ends are kept for it.
+/// State of an entry, kept while it is linked or results are retained for it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EntryState {
     pub(super) is_linked: bool,
-    /// Whether it has been told to place nothing more here.
+    /// Whether it has been told to place no more tasks here.
     pub(super) is_retired: bool,
-    /// This agent's clock as the entry last echoed it.
+    /// This agent's clock as last echoed by the entry.
     pub(super) echo: Duration,
-    /// What it waits for.
+    /// The capacity that it requests.
     pub(super) request: Option<PendingRequest>,
-    /// The number of its last orders.
+    /// The serial number of its last orders.
     pub(super) serial: u64,
-    /// When it was last told of the room.
+    /// When it was last sent the load of the upstream.
     pub(super) last_load_sent: Duration,
-    /// Ends that it may not have heard of, each with the time until which it is kept.
+    /// Results that it may not have received, each with the time until which it is kept.
     pub(super) retained: VecDeque<(Duration, AttemptResult)>,
 }
 
 impl EntryState {
-    /// A new link counts its orders anew.
+    /// Marks the entry as linked. Serial numbers of orders start again on a new link.
     pub(super) const fn link(&mut self) {
         self.is_linked = true;
         self.is_retired = false;
--- a/crates/cassiarock-transient/src/host/health.rs
+++ b/crates/cassiarock-transient/src/host/health.rs
@@ -1,26 +1,26 @@
-//! How an upstream does, by the ends of its latest tasks.
+//! Health of an upstream, from the results of its latest tasks.
 
 use crate::message::Outcome;
 use cassiarock_id::Name;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How many ends count: a fifth of a second's at 45 a second and upstream.
+/// Number of results that count: those of a fifth of a second, at 45 a second per upstream.
 const MAX_RESULTS: usize = 12;
 
-/// How long an end counts. An upstream that got no work for this long is tried anew.
+/// How long a result counts. An upstream that got no work for this long is tried again.
 const WINDOW: Duration = Duration::from_secs(3);
 
-/// The weight of one end in the pace: the last ten ends make up two thirds of it.
+/// The weight of one result in the moving average: the last ten make up two thirds of it.
 const SLOWDOWN_WEIGHT: f64 = 0.1;
 
-/// The pace of one task counts within these bounds, so that no single one upsets the mean.
+/// The slowdown of one task is limited to these bounds, so that no single one distorts the average.
 const SLOWDOWN_BOUNDS: (f64, f64) = (0.2, 8.0);
 
-/// Ends and pace of one upstream.
+/// Recent results and the average slowdown of one upstream.
 #[derive(Clone, Debug)]
 pub(super) struct Health {
-    /// When, whose and whether it failed.
+    /// The time, the job and whether the task failed.
     results: VecDeque<(Duration, Name, bool)>,
     slowdown: f64,
 }
@@ -38,12 +38,12 @@
     pub(super) fn record(
         &mut self,
         job: &Name,
-        end: Outcome,
+        outcome: Outcome,
         ran: Duration,
         expected: Duration,
         now: Duration,
     ) {
-        let failed = match end {
+        let failed = match outcome {
             Outcome::Done => false,
             Outcome::Failed => true,
             _ => return,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// The share of failed tasks in hundredths. The tasks of one job count once: a job that
-    /// can never be done fails on any upstream.
+    /// The percentage of recent tasks that failed. Failures of one job count once, as a job that
+    /// can never succeed fails on any upstream, and fewer than two failed jobs count as none.
     pub(super) fn failure_percent(&self, now: Duration) -> u8 {
         let mut failed: Vec<&Name> = Vec::new();
         let mut done = 0_usize;
@@ -81,7 +81,7 @@
         u8::try_from(failed.len() * 100 / (failed.len() + done)).unwrap_or(100)
     }
 
-    /// The mean time of its tasks in hundredths of what was expected of them.
+    /// The average run time as a percentage of the expected run time.
     pub(super) fn slowdown_percent(&self) -> u16 {
         (self.slowdown * 100.0)
             .round()
--- a/crates/cassiarock-transient/src/host/incarnations.rs
+++ b/crates/cassiarock-transient/src/host/incarnations.rs
@@ -1,4 +1,4 @@
-//! Lives of the upstream: of which one a report or an answer tells.
+//! Tracks incarnations of the upstream: matches reports and responses to them.
 
 use super::health::Health;
 use super::lease::Lease;
@@ -9,26 +9,26 @@
 use crate::{Decision, Incarnation};
 use std::time::Duration;
 
-/// What a fence rises by that the upstream has turned away as too low, in milliseconds: an hour, as
-/// fences are times, and twice as much each further time.
+/// The amount in milliseconds by which a fence is raised that the upstream rejected as too low: one
+/// hour, as fences are times. It doubles with each further rejection.
 const FENCE_STEP: u64 = 3_600_000;
 
-/// What a report says of the upstream's life.
+/// How a report relates to the known incarnation.
 enum ReportKind {
-    /// The known one goes on.
+    /// It is about the known incarnation.
     Same,
-    /// Nothing that counts any more.
+    /// It is obsolete, for this reason.
     Outdated(&'static str),
-    /// A life that started before the known one, though it has not been heard of: held up on its
-    /// way, or the upstream's clock was set back. An answer of the upstream tells.
+    /// It is about an unknown incarnation with an earlier start: either the report was delayed or
+    /// the upstream's clock was set back. A poll of the upstream decides.
     Doubtful,
-    /// Another one has begun.
+    /// A new incarnation has started.
     New,
 }
 
 impl Host {
-    /// The upstream reports. A report of a life that has been followed by another is old news
-    /// that a broken network had held up.
+    /// Handles a report of the upstream. A report of an incarnation that another one has followed
+    /// was delayed by the network and is ignored.
     pub fn handle_report(&mut self, worker: Worker, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         match self.classify(&worker) {
@@ -58,7 +58,8 @@
                 ReportKind::Same
             };
         }
-        // Nothing else is there: if the report was held up, no order will be answered.
+        // No other incarnation is known to be alive. If this report was delayed, no order will be
+        // answered.
         if known.is_gone {
             return ReportKind::New;
         }
@@ -83,8 +84,8 @@
         }
     }
 
-    /// A life begins. What ran in the one before has ended, but for orders on their way: under
-    /// the same id the new life takes them too.
+    /// Starts a new incarnation. What ran in the previous one has ended, except orders in flight: a
+    /// new incarnation with the same id accepts them too.
     fn begin_incarnation(
         &mut self,
         worker: Worker,
@@ -119,16 +120,16 @@
         self.announce_upstream(actions, reason);
     }
 
-    /// An order that may yet reach a new life of the upstream is stopped there. It is over once
-    /// an answer to a poll that carried the new fence does not list it.
+    /// Stops an order that may still reach the new incarnation. It is finished once a response to a
+    /// poll that carried the new fence does not list it.
     fn keep_in_flight(&mut self, task: Task, run: Run, now: Duration, actions: &mut Vec<Action>) {
         self.runs.add(task.clone(), run.into_in_flight(now));
         actions.push(Action::Stop(task));
     }
 
-    /// Whether an answer to a poll is of the present life. An answer that names another one shows
-    /// that the upstream has started again under its id, unless the poll went out before the
-    /// present life was known.
+    /// Whether the response to a poll is from the current incarnation. A response that names
+    /// another one shows that the upstream has restarted under its id, unless the poll was sent
+    /// before the current incarnation was known.
     pub(super) fn accept_snapshot(
         &mut self,
         snapshot: &Snapshot,
@@ -170,14 +171,15 @@
         self.fence = self.fence.max(started_at);
     }
 
-    /// Whether an answer to an order of `life` is of the present life.
+    /// Whether `incarnation` is the current one.
     pub(super) fn is_current(&self, incarnation: &Incarnation) -> bool {
         let worker = self.worker.as_ref();
         worker.is_some_and(|worker| !worker.incarnation().differs_from(incarnation))
     }
 
-    /// The upstream says that it has ended. One that tells when it started may have started
-    /// again since: that one has not, unless it was leaving.
+    /// Handles the deregistration of the upstream. One that reports its start time may have
+    /// restarted since then, and this message may be about the previous incarnation; so it counts
+    /// only if the upstream was leaving or reports no start time.
     pub fn deregister(&mut self, id: &str, now: Duration) -> Vec<Action> {
         let known = self.worker.as_ref().filter(|worker| &*worker.id == id);
         match known {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Another life answers at the upstream's address.
+    /// Handles a response of another incarnation at the upstream's address.
     pub fn handle_replacement(&mut self, incarnation: &Incarnation, now: Duration) -> Vec<Action> {
         self.lose_upstream(
             incarnation,
@@ -205,11 +207,11 @@
         )
     }
 
-    /// The upstream is gone.
+    /// Marks this incarnation of the upstream as gone and ends all attempts on it.
     fn lose_upstream(
         &mut self,
         incarnation: &Incarnation,
-        end: Outcome,
+        outcome: Outcome,
         reason: &'static str,
         now: Duration,
     ) -> Vec<Action> {
@@ -217,7 +219,7 @@
         if !self.is_current(incarnation) {
             return actions;
         }
-        self.lose_all(end, reason, now, &mut actions);
+        self.lose_all(outcome, reason, now, &mut actions);
         if let Some(worker) = &mut self.worker {
             worker.is_gone = true;
         }
@@ -226,15 +228,15 @@
         actions
     }
 
-    /// What orders to the upstream carry, so that it does nothing that was ordered from a life of
-    /// it before the present one; 0 if it does not tell when it started.
+    /// The fencing token that orders carry, so that the upstream does nothing that was ordered from
+    /// an earlier incarnation of it; 0 if it does not report when it started.
     #[must_use]
     pub const fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// The upstream turned away the fence: it has seen a higher one, from an agent that knew a
-    /// life of it with a later start.
+    /// Raises the fence after the upstream rejected it: the upstream has seen a higher one, from an
+    /// agent that knew an incarnation of it with a later start time.
     pub fn raise_fence(&mut self, incarnation: &Incarnation) -> Vec<Action> {
         if !self.is_current(incarnation) {
             return Vec::new();
--- a/crates/cassiarock-transient/src/host/lease.rs
+++ b/crates/cassiarock-transient/src/host/lease.rs
@@ -1,30 +1,30 @@
-//! The upstream's clock and how far its leases reach.
+//! The upstream's clock and the expiry of its leases.
 
 use super::millis;
 use crate::timing::{LEASE, STOP_MARGIN};
 use std::time::Duration;
 
-/// The upstream's clock may be this much slow.
+/// The lowest rate at which the upstream's clock may run.
 const MIN_CLOCK_RATE: f64 = 0.98;
 
-/// A reading this far behind the guess, in milliseconds, tells another clock; a slow clock
-/// falls behind by 12 ms between two renewals.
+/// A reading this many milliseconds behind the estimate is from another clock; a slow clock falls
+/// behind by 12 ms between two renewals.
 const MAX_CLOCK_LAG_MS: u64 = 100;
 
-/// An upstream that has answered nothing for this long gets nothing new and is not renewed:
-/// four polls in a row, at 80 ms each if unanswered, have been missed.
+/// An upstream that has not answered for this long gets no new tasks and no renewals: it has missed
+/// four polls in a row, each of which takes 80 ms if unanswered.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// What is known of the upstream's clock and of the renewals.
+/// The estimate of the upstream's clock, and the lease renewals.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Lease {
-    /// The clock as last heard, and when. An answer takes time, so the clock is ahead of this
-    /// by that time: a lease counted from it is rather too short than too long.
+    /// The last clock reading and when it arrived. A response takes time, so the clock is ahead of
+    /// the estimate by that time: a lease counted from it is too short rather than too long.
     last_reading: (u64, Duration),
-    /// When the last answer came.
+    /// When the last response arrived.
     last_answer: Duration,
-    /// The furthest time that any renewal has asked for, on the upstream's clock. A renewal
-    /// names a point in time, so one that is carried out late lengthens nothing.
+    /// The latest time on the upstream's clock that any renewal has asked for. A renewal names an
+    /// absolute time, so one that is carried out late extends nothing.
     latest_expiry: u64,
 }
 
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Takes a reading of the upstream's clock. Answers may overtake each other, so only a
-    /// reading ahead of the present guess counts.
+    /// Records a reading of the upstream's clock. Responses may overtake each other, so a reading
+    /// counts only if it is ahead of the estimate, or so far behind it that it is from another
+    /// clock.
     pub(super) fn record_clock(&mut self, clock: Option<u64>, now: Duration) {
         let Some(clock) = clock else {
             return;
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Until when a lease reaches that is renewed now.
+    /// Renews the leases and returns their expiry on the upstream's clock.
     pub(super) fn renew(&mut self, now: Duration) -> u64 {
         let until = self.clock(now, 1.0) + millis(LEASE);
         self.latest_expiry = self.latest_expiry.max(until);
@@ -62,12 +63,12 @@
         now.saturating_sub(self.last_answer) > SILENCE_TIMEOUT
     }
 
-    /// Whether everything on the upstream has ended for want of renewal.
+    /// Whether all leases have expired by now, even on the slowest clock allowed.
     pub(super) fn has_lapsed(&self, now: Duration) -> bool {
         self.clock(now, MIN_CLOCK_RATE) > self.latest_expiry + millis(STOP_MARGIN)
     }
 
-    /// The upstream's clock now, if it runs at this rate.
+    /// The estimate of the upstream's clock now, if it runs at this rate.
     fn clock(&self, now: Duration, rate: f64) -> u64 {
         let (clock, at) = self.last_reading;
         clock + millis(now.saturating_sub(at).mul_f64(rate))
--- a/crates/cassiarock-transient/src/host/mod.rs
+++ b/crates/cassiarock-transient/src/host/mod.rs
@@ -1,4 +1,5 @@
-//! The agent's side: which tasks run on its upstream, for whom, and until when.
+//! The agent's side: tracks the tasks on its upstream, the entries that ordered them, and their
+//! leases.
 
 mod entries;
 mod entry_state;
@@ -28,62 +29,63 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What the shell is to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message to an entry.
     Send(Process, Message),
-    /// Order the upstream to start a task; answer with [`Host::handle_start_response`].
+    /// Order the upstream to start a task and report the response with
+    /// [`Host::handle_start_response`].
     Start {
-        /// The task and its attempt.
+        /// The attempt to start.
         task: Task,
-        /// What the task is told.
+        /// The specification that is passed to the task.
         spec: Name,
-        /// On the upstream's clock, in milliseconds: after this the order is void.
+        /// The time on the upstream's clock, in milliseconds, after which the order is void.
         until: u64,
     },
-    /// Order the upstream to stop a task; its end comes with a poll.
+    /// Order the upstream to stop a task; the result comes with a poll.
     Stop(Task),
-    /// Poll the upstream at once, beside the poll that waits.
+    /// Poll the upstream at once, in addition to the long poll in progress.
     Poll,
-    /// A line for the log.
+    /// Write a decision to the log.
     Log(Decision),
 }
 
-/// What an agent knows of its upstream and of the tasks on it.
+/// The agent's state: its upstream, the tasks on it and the entries that use it.
 #[derive(Debug, Default)]
 pub struct Host {
-    /// The upstream's present life, as its last report says.
+    /// The upstream's current incarnation, as last reported.
     worker: Option<Worker>,
-    /// What has been ordered and has not ended.
+    /// Attempts that were ordered and have not ended.
     runs: Runs,
-    /// The entries that have tasks here, or are linked.
+    /// Entries that are linked or have tasks here.
     entries: BTreeMap<Process, EntryState>,
-    /// What the latest ends tell of the upstream.
+    /// The health of the upstream, from its latest results.
     health: Health,
     /// The upstream's clock and leases.
     lease: Lease,
-    /// Since when the upstream's present life is known.
+    /// When the upstream's current incarnation became known.
     incarnation_known_since: Duration,
-    /// What orders to the upstream carry; it rises from life to life.
+    /// The fencing token that orders to the upstream carry; it increases with each incarnation.
     fence: u64,
-    /// What the fence rises by if it is turned away once more.
+    /// The amount that the fence increases by the next time it is rejected.
     fence_step: u64,
-    /// Ends of the upstream up to this number have been taken.
+    /// The number of the last result taken from the upstream.
     last_seen_end: u64,
-    /// Whether the upstream has been looked at in its present life. Until then an earlier
-    /// life of the agent may have tasks on it, so nothing is started.
+    /// Whether a poll has shown that nothing runs on the upstream's current incarnation. Until then
+    /// an earlier incarnation of this agent may have tasks on it, so nothing is started.
     is_reconciled: bool,
-    /// Whether this agent takes no new work.
+    /// Whether this agent accepts no new work.
     is_leaving: bool,
-    /// Whether operators are emptying the data centre.
+    /// Whether operators are evacuating the data centre.
     is_evacuated: bool,
-    /// Room that is held for an entry.
+    /// Free capacity that is held for an entry.
     offer: Option<Offer>,
 }
 
 impl Host {
-    /// An agent that knows no upstream.
+    /// Creates an agent that knows no upstream.
     ///
     /// ```
     /// assert!(cassiarock_transient::Host::new().worker().is_none());
@@ -93,20 +95,20 @@
         Self::default()
     }
 
-    /// The upstream as its last report says, if there is one.
+    /// The upstream as last reported, if there is one.
     #[must_use]
     pub const fn worker(&self) -> Option<&Worker> {
         self.worker.as_ref()
     }
 
-    /// How many attempts are on the upstream.
+    /// The number of attempts on the upstream.
     #[must_use]
     pub fn attempt_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// The number of the last end taken, for the next poll. None counts while the upstream does
-    /// not answer: if it starts again under its id, it numbers its ends anew.
+    /// The number of the last result taken, for the next poll. It is 0 while the upstream does not
+    /// answer: if it restarts under its id, it numbers its results from 1 again.
     #[must_use]
     pub fn last_seen_end(&self, now: Duration) -> u64 {
         if self.lease.is_silent(now) {
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Carries out what is due.
+    /// Performs everything that is due by time: stops, lease expiry, offers and heartbeats.
     pub fn poll(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         self.stop_abandoned(now, &mut actions);
@@ -133,7 +135,7 @@
         actions
     }
 
-    /// When [`Self::poll`] has to be called next.
+    /// The time at which [`Self::poll`] has to be called next.
     #[must_use]
     pub fn next_poll(&self, now: Duration) -> Duration {
         let linked = self.entries.values().filter(|state| state.is_linked);
--- a/crates/cassiarock-transient/src/host/offer.rs
+++ b/crates/cassiarock-transient/src/host/offer.rs
@@ -1,9 +1,9 @@
-//! Which entry is offered room that becomes free.
+//! Offers free capacity to entries that request it.
 //!
-//! The load that this answers is a nearly full system with several entries. Each orders only
-//! its own queue, so that freed room would go to whoever hears of it first, urgent or not.
-//! Entries ask agents for room for the job that they would place next; an agent holds what
-//! becomes free for the most urgent ask, and for the next one if that entry passes.
+//! This matters in a nearly full system with several entries. Each entry orders only its own queue,
+//! so freed capacity would go to whichever entry hears of it first, urgent or not. Entries
+//! therefore send capacity requests for the job that they would place next. An agent holds freed
+//! capacity for the most urgent request, and then for the next one if that entry declines.
 
 use super::{Action, Host};
 use crate::message::CapacityRequest;
@@ -11,15 +11,15 @@
 use cassiarock_id::Process;
 use std::time::Duration;
 
-/// How long room is held for an entry: the way there and back between data centres, and the
-/// turn of an entry that has a fraction of a core.
+/// How long capacity is held for an entry: a round trip between data centres, plus the response
+/// time of an entry that has a fraction of a core.
 const HOLD_TIME: Duration = Duration::from_millis(10);
 
-/// An entry that still waits repeats its ask with each heartbeat, every 100 ms; an older ask
-/// has been met elsewhere.
+/// An entry that still waits repeats its request with each heartbeat, every 100 ms; an older
+/// request has been met elsewhere.
 const REQUEST_MAX_AGE: Duration = Duration::from_millis(150);
 
-/// Room that is held for an entry.
+/// Free capacity that is held for an entry.
 #[derive(Clone, Debug)]
 pub(super) struct Offer {
     to: Process,
@@ -33,7 +33,7 @@
     }
 }
 
-/// What an entry asks for, and since when.
+/// A capacity request and the time it was received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRequest {
     request: CapacityRequest,
@@ -41,7 +41,7 @@
 }
 
 impl PendingRequest {
-    /// The least goes first, in the order in which each entry ranks its own jobs.
+    /// Sort key; the lowest is served first, in the order in which each entry ranks its own jobs.
     fn rank(&self) -> (bool, bool, bool, u32, Duration) {
         let CapacityRequest {
             is_late,
@@ -64,7 +64,7 @@
         now < self.received_at + REQUEST_MAX_AGE && self.request.demand.fits_in(free)
     }
 
-    /// The part of `free` that it can use.
+    /// The part of `free` that the request can use.
     fn room(&self, free: &Resources) -> Resources {
         let CapacityRequest { demand, tasks, .. } = self.request;
         let tasks = free.count_of(&demand).min(u64::from(tasks));
@@ -73,7 +73,8 @@
 }
 
 impl Host {
-    /// What `entry` waits for now; nothing if it passes. An offer to it is answered by that.
+    /// Records what `entry` requests now, or `None` if it declines. Either one answers an open
+    /// offer to it.
     pub(super) fn record_request(
         &mut self,
         entry: &Process,
@@ -91,18 +92,18 @@
         }
     }
 
-    /// Whether room is held for `entry`.
+    /// Whether capacity is held for `entry`.
     pub(super) fn is_offered(&self, entry: &Process, now: Duration) -> bool {
         let offer = self.offer.as_ref();
         offer.is_some_and(|offer| offer.is_open(now) && offer.to == *entry)
     }
 
-    /// Whether room is held for any entry.
+    /// Whether capacity is held for any entry.
     pub(super) fn has_offer(&self) -> bool {
         self.offer.is_some()
     }
 
-    /// The room that `entry` may use: all that is free but for what is held for another.
+    /// The capacity that `entry` may use: all that is free except what is held for another entry.
     pub(super) fn free_for(&self, entry: &Process, now: Duration) -> Resources {
         match &self.offer {
             Some(offer) if offer.is_open(now) && offer.to != *entry => {
@@ -112,27 +113,28 @@
         }
     }
 
-    /// When the room that is held has to be offered to another entry.
+    /// When the current offer expires.
     pub(super) fn offered_until(&self) -> Option<Duration> {
         self.offer.as_ref().map(|offer| offer.until)
     }
 
-    /// Holds free room for the most urgent ask and tells its entry.
+    /// Holds free capacity for the most urgent request and notifies its entry.
     pub(super) fn offer(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if let Some(entry) = self.hold(now, actions) {
             self.send_heartbeat(&entry, now, actions);
         }
     }
 
-    /// Holds free room for the most urgent ask. Gives the entry that has to be told; none if
-    /// room is held already, or nobody asks for what is free.
+    /// Holds free capacity for the most urgent request. Returns the entry to notify; `None` if
+    /// capacity is held already or no request fits.
     pub(super) fn hold(&mut self, now: Duration, actions: &mut Vec<Action>) -> Option<Process> {
         match self.offer.take() {
             Some(offer) if offer.is_open(now) => {
                 self.offer = Some(offer);
                 return None;
             }
-            // It has not answered: what it asked for counts no more until it asks again.
+            // The entry has not answered the offer: its request is dropped until it sends a new
+            // one.
             Some(offer) => {
                 let decision = Decision::new("offer lapsed", "", "").with("to", &offer.to);
                 actions.push(Action::Log(decision));
--- a/crates/cassiarock-transient/src/host/orders.rs
+++ b/crates/cassiarock-transient/src/host/orders.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping tasks.
+//! Starts and stops tasks.
 
 use super::entry_state::EntryState;
 use super::run::{Phase, Run, StartResponse, Task};
@@ -9,15 +9,16 @@
 use cassiarock_id::Process;
 use std::time::Duration;
 
-/// A stop that is not confirmed by an end is ordered again after this time: the upstream
-/// needs up to 50 ms for it.
+/// Delay before an unconfirmed stop is ordered again: the upstream takes up to 50 ms to stop a
+/// task.
 const STOP_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Host {
-    /// An entry orders tasks. `echo` is this agent's clock as the entry last heard it.
+    /// Handles orders of an entry. `echo` is this agent's clock as the entry last received it.
     ///
-    /// An order that waited in a socket while this process was frozen is worthless: its entry
-    /// may have started the tasks elsewhere. The echo shows it, whatever delayed the order.
+    /// Orders with an old echo are rejected. If this process was frozen while an order waited in a
+    /// socket, the entry may have started the tasks elsewhere; the echo shows the age of the order,
+    /// whatever delayed it.
     pub fn handle_orders(
         &mut self,
         entry: &Process,
@@ -43,7 +44,7 @@
         actions
     }
 
-    /// Starts the tasks of an order. Gives those that are turned away.
+    /// Starts the tasks of an order and returns the results of those that are rejected.
     fn start_tasks(
         &mut self,
         entry: &Process,
@@ -58,8 +59,8 @@
                 job: order.job.clone(),
                 attempt: start.of(order.number),
             };
-            if let Some(end) = self.rejection(entry, &task, start, age, now, actions) {
-                rejected.push(unstarted_result(task.attempt, end));
+            if let Some(outcome) = self.rejection(entry, &task, start, age, now, actions) {
+                rejected.push(unstarted_result(task.attempt, outcome));
                 continue;
             }
             let run = Run::new(entry.clone(), order.request.clone(), start, now);
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Why `task` cannot be started now, if anything stands in its way.
+    /// The reason why `task` cannot be started now, if there is one.
     fn rejection(
         &mut self,
         entry: &Process,
@@ -106,8 +107,8 @@
         if is_shut || !self.is_reconciled || self.lease.is_silent(now) {
             return Some(Outcome::Closed);
         }
-        // The caller submitted the job again while an earlier submission's task is here: that
-        // one has to end first, or the task would run twice at once.
+        // The caller has submitted the job again while a task of the earlier submission is here.
+        // That one has to end first, or the task would run twice at once.
         if let Some(earlier) = self.runs.find_same_task(task) {
             self.stop(&earlier, "its job was submitted again", now, actions);
             return Some(Outcome::Busy);
@@ -119,7 +120,7 @@
         (!start.demand.fits_in(&self.free_for(entry, now))).then_some(Outcome::Full)
     }
 
-    /// An entry no longer wants these.
+    /// Stops attempts that an entry no longer needs.
     pub fn handle_halt(
         &mut self,
         entry: &Process,
@@ -135,7 +136,7 @@
         actions
     }
 
-    /// The answer of a life of the upstream to a start.
+    /// Handles the response of an incarnation of the upstream to a start.
     pub fn handle_start_response(
         &mut self,
         incarnation: &Incarnation,
@@ -152,14 +153,14 @@
         let Some(run) = self.runs.get_mut(task) else {
             return actions;
         };
-        let end = match answer {
+        let outcome = match answer {
             StartResponse::Started => {
                 if matches!(run.phase, Phase::Starting) {
                     run.phase = Phase::Running;
                 }
                 return actions;
             }
-            // It may be carried out yet, up to its time limit; the stop forbids that.
+            // The order may still be carried out until its time limit; the stop prevents that.
             StartResponse::NoResponse => {
                 self.stop(task, "the start was not answered", now, &mut actions);
                 return actions;
@@ -168,7 +169,7 @@
             StartResponse::Superseded => Outcome::Passed,
             StartResponse::Refused => Outcome::Refused,
         };
-        self.finish(task, end, now, &mut actions);
+        self.finish(task, outcome, now, &mut actions);
         actions
     }
 
@@ -194,8 +195,9 @@
         actions.push(Action::Stop(task.clone()));
     }
 
-    /// A life of the upstream confirmed a stop: the attempt has ended or can never start. If it was
-    /// never seen to run, a poll at once tells which, and its entry need not wait.
+    /// Handles the confirmation of a stop by an incarnation of the upstream: the attempt has ended
+    /// or can never start. If it was never listed as running, an immediate poll tells which, so
+    /// that its entry need not wait.
     pub fn handle_stop_response(
         &mut self,
         incarnation: &Incarnation,
@@ -217,8 +219,8 @@
         vec![Action::Poll]
     }
 
-    /// Stops the tasks of entries that this agent no longer hears, or that no longer hear it:
-    /// they will start the tasks elsewhere.
+    /// Stops the tasks of entries that this agent no longer hears, or that no longer hear this
+    /// agent: they will start the tasks elsewhere.
     pub(super) fn stop_abandoned(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let lost = |state: &EntryState| now.saturating_sub(state.echo) >= CONTACT_TIMEOUT;
         let abandoned: Vec<Task> = self
@@ -246,10 +248,10 @@
     }
 }
 
-const fn unstarted_result(attempt: Attempt, end: Outcome) -> AttemptResult {
+const fn unstarted_result(attempt: Attempt, outcome: Outcome) -> AttemptResult {
     AttemptResult {
         attempt,
-        outcome: end,
+        outcome,
         ran: Duration::ZERO,
     }
 }
--- a/crates/cassiarock-transient/src/host/run.rs
+++ b/crates/cassiarock-transient/src/host/run.rs
@@ -1,4 +1,4 @@
-//! The attempts on one upstream.
+//! Attempts on one upstream.
 
 use crate::message::{Attempt, Outcome, Start};
 use crate::{Incarnation, Resources};
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// An attempt at a task, with the job's id by which the upstream knows it.
+/// An attempt at a task, with the id by which the upstream knows its job.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Task {
     /// The job's id.
@@ -17,7 +17,7 @@
 }
 
 impl Task {
-    /// A task that only the upstream knows.
+    /// Builds a task from what the upstream reports, when no order for it is known.
     #[must_use]
     pub fn from_key(job: &Name, named: &AttemptKey) -> Self {
         let attempt = Attempt {
@@ -45,19 +45,19 @@
     }
 }
 
-/// An attempt as the upstream names it, within its job.
+/// Identifies an attempt within its job, as the upstream reports it.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct AttemptKey {
     /// The stage.
     pub stage: u32,
     /// The task within its stage.
     pub index: u32,
-    /// The number of the task's start.
+    /// The number of this start of the task.
     pub attempt: u32,
 }
 
 impl AttemptKey {
-    /// Whether `attempt` is this start.
+    /// Whether this key identifies `attempt`.
     #[must_use]
     pub const fn matches(&self, attempt: &Attempt) -> bool {
         self.stage == attempt.stage
@@ -66,44 +66,44 @@
     }
 }
 
-/// How the upstream answered a start.
+/// The upstream's response to the order to start a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartResponse {
-    /// The task runs.
+    /// The task was started.
     Started,
-    /// It does not fit.
+    /// The upstream has too little free capacity.
     Full,
-    /// The upstream has seen a higher attempt.
+    /// The upstream has already seen a higher attempt number.
     Superseded,
-    /// The upstream turned the order away; it has done nothing.
+    /// The upstream rejected the order and did nothing.
     Refused,
-    /// No answer came: the order may still be carried out.
+    /// No response came: the order may still be carried out.
     NoResponse,
 }
 
-/// What the answer to a poll of the upstream showed.
+/// The response to a poll of the upstream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Snapshot {
-    /// The life that answered.
+    /// The incarnation that responded.
     pub incarnation: Incarnation,
     /// The upstream's clock in milliseconds.
     pub clock: u64,
     /// When the poll was sent, by the agent's clock.
     pub asked: Duration,
-    /// What runs, by job.
+    /// The running attempts with their jobs.
     pub running: Vec<(Name, AttemptKey)>,
-    /// What has ended: the end's number, the job, the attempt and how it ended.
+    /// The ended attempts: the number of the result, the job, the attempt and its outcome.
     pub ended: Vec<(u64, Name, AttemptKey, Outcome)>,
 }
 
-/// Where an attempt stands.
+/// The phase of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
-    /// Its order is on its way.
+    /// The order to start it has been sent.
     Starting,
-    /// It runs.
+    /// The upstream has confirmed that it runs.
     Running,
-    /// Its stop was ordered then.
+    /// Its stop was ordered at this time.
     Stopping(Duration),
 }
 
@@ -114,16 +114,16 @@
     pub(super) request: Name,
     pub(super) demand: Resources,
     pub(super) expected: Duration,
-    /// With which others it must not run together, as one of them may crash the upstream.
+    /// Attempts with the same value must not run together, as one of them may crash the upstream.
     pub(super) suspect: Option<Name>,
     pub(super) since: Duration,
     pub(super) phase: Phase,
     /// Whether the upstream has listed it as running.
     pub(super) is_listed: bool,
-    /// When the upstream answered its stop.
+    /// When the upstream confirmed its stop.
     pub(super) stop_confirmed_at: Option<Duration>,
-    /// Since when its order has been on its way to a life of the upstream that has ended: the next
-    /// life may carry it out.
+    /// Set if its order was in flight when the upstream restarted, to the time of the restart: the
+    /// next incarnation may still carry it out.
     pub(super) in_flight_since: Option<Duration>,
 }
 
@@ -143,12 +143,12 @@
         }
     }
 
-    /// Whether no answer has shown that it ran: its order may still be carried out.
+    /// Whether no response has shown that it runs, so that its order may still be carried out.
     const fn is_unanswered(&self) -> bool {
         !self.is_listed && !matches!(self.phase, Phase::Running)
     }
 
-    /// The same, as what a new life of the upstream may carry out yet.
+    /// Marks it as an order that a new incarnation of the upstream may still carry out.
     pub(super) fn into_in_flight(self, now: Duration) -> Self {
         Self {
             phase: Phase::Stopping(now),
@@ -158,13 +158,14 @@
         }
     }
 
-    /// Since when its order cannot be carried out any more, if it was not before.
+    /// The time of the confirmed stop or of the upstream's restart. A poll sent later that does not
+    /// list this attempt shows that its order can't be carried out any more.
     pub(super) fn void_since(&self) -> Option<Duration> {
         self.stop_confirmed_at.or(self.in_flight_since)
     }
 }
 
-/// All attempts, with the room that they take.
+/// All attempts and the total resources that they take.
 #[derive(Debug, Default)]
 pub(super) struct Runs {
     runs: BTreeMap<Task, Run>,
@@ -195,7 +196,7 @@
         Some(run)
     }
 
-    /// Takes out those whose orders may still be carried out.
+    /// Removes and returns the attempts whose orders may still be carried out.
     pub(super) fn take_unanswered(&mut self) -> Vec<(Task, Run)> {
         let runs = self.runs.iter();
         let unanswered = runs.filter(|(_, run)| run.is_unanswered());
@@ -232,7 +233,7 @@
             .map(|(task, _)| task.attempt)
     }
 
-    /// Whether another suspect of the same loss runs.
+    /// Whether a suspect of the same loss runs here.
     pub(super) fn has_suspect(&self, suspect: &Name) -> bool {
         let mut runs = self.runs.values();
         runs.any(|run| run.suspect.as_ref() == Some(suspect))
@@ -248,14 +249,14 @@
         found.map(|(task, _)| task.clone())
     }
 
-    /// The attempt that the upstream names so.
+    /// Finds the attempt by the key that the upstream reports.
     pub(super) fn find_by_key(&self, job: &Name, named: &AttemptKey) -> Option<Task> {
         let tasks = self.runs.keys();
         let mut same = tasks.filter(|task| task.job == *job);
         same.find(|task| named.matches(&task.attempt)).cloned()
     }
 
-    /// Another attempt at the same task, of whatever entry.
+    /// Finds another attempt at the same task, from any entry.
     pub(super) fn find_same_task(&self, task: &Task) -> Option<Task> {
         let tasks = self.runs.keys();
         let mut same = tasks.filter(|other| {
--- a/crates/cassiarock-transient/src/host/snapshots.rs
+++ b/crates/cassiarock-transient/src/host/snapshots.rs
@@ -1,4 +1,4 @@
-//! What polls of the upstream show: ends, leftovers, lapsed leases.
+//! Handles responses to polls of the upstream: results, unexpected tasks, expired leases.
 
 use super::run::{Phase, Snapshot, Task};
 use super::{Action, Host, millis};
@@ -7,30 +7,31 @@
 use cassiarock_id::Process;
 use std::time::Duration;
 
-/// How long a poll waits for an end. While one poll is left unanswered no end is heard of: with
-/// long waits an upstream that leaves one call in twenty unanswered would keep its agent deaf
-/// nearly all the time.
+/// How long a poll waits for a result. No result arrives while a poll is left unanswered: with
+/// longer waits, an agent whose upstream leaves one call in twenty unanswered would receive no
+/// results most of the time.
 const BUSY_POLL_WAIT: Duration = Duration::from_millis(40);
 
-/// The same where nothing runs that could end. The lease of a task that starts meanwhile is
-/// renewed in good time after it, and one such poll may stay unanswered before the upstream
+/// How long a poll waits while no task is running. The lease of a task that starts meanwhile is
+/// still renewed in time afterwards, and one such poll may stay unanswered before the upstream
 /// counts as silent.
 const IDLE_POLL_WAIT: Duration = Duration::from_millis(150);
 
-/// The pause after a poll that failed ...
+/// The backoff after the first failed poll.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 
-/// ... and the longest after several in a row: an upstream that is back is seen within it.
+/// The longest backoff after several failures in a row: an upstream that is back is noticed within
+/// this time.
 const MAX_BACKOFF: Duration = Duration::from_millis(160);
 
-/// How long ends are kept for an entry whose link has broken. After `RECLAIM_DELAY` it no longer
+/// How long results are kept for an entry whose link is lost. After `RECLAIM_DELAY` the entry no longer
 /// waits for them.
 const RESULT_RETENTION: Duration = Duration::from_secs(2);
 
-/// The pause after so many polls in a row have failed.
+/// The backoff after this many failed polls in a row. It doubles with each failure up to a maximum.
 ///
-/// The load that this answers is that of an upstream that is down for seconds: each poll of it
-/// takes a connection.
+/// It limits the load of polling an upstream that is down for seconds: each such poll takes a
+/// connection.
 ///
 /// ```
 /// use cassiarock_transient::host::poll_backoff;
@@ -44,10 +45,10 @@
 }
 
 impl Host {
-    /// How long the next poll waits for an end.
+    /// How long the next poll waits for a result.
     ///
-    /// The load that this answers is that of polls of upstreams that run nothing, most of those of
-    /// a system with room.
+    /// Polls of an idle upstream wait longer, since most upstreams of a system with free capacity
+    /// run nothing.
     #[must_use]
     pub fn poll_wait(&self) -> Duration {
         if self.is_reconciled && self.runs.is_empty() {
@@ -57,26 +58,26 @@
         }
     }
 
-    /// Until when the next poll renews all leases, on the upstream's clock; not at all while
-    /// the upstream does not answer, so that the leases are known to lapse.
+    /// The time on the upstream's clock until which the next poll renews all leases. `None` while
+    /// the upstream does not answer, so that the leases are certain to expire.
     pub fn renew_leases(&mut self, now: Duration) -> Option<u64> {
         (!self.lease.is_silent(now)).then(|| self.lease.renew(now))
     }
 
-    /// What the answer to a poll of the upstream showed.
+    /// Handles the response to a poll of the upstream.
     pub fn handle_snapshot(&mut self, snapshot: &Snapshot, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.accept_snapshot(snapshot, now, &mut actions) {
             return actions;
         }
         self.lease.record_clock(Some(snapshot.clock), now);
-        for (number, job, attempt, end) in &snapshot.ended {
+        for (number, job, attempt, outcome) in &snapshot.ended {
             if *number <= self.last_seen_end {
                 continue;
             }
             self.last_seen_end = *number;
             if let Some(task) = self.runs.find_by_key(job, attempt) {
-                self.finish(&task, *end, now, &mut actions);
+                self.finish(&task, *outcome, now, &mut actions);
             }
         }
         self.reconcile(snapshot, now, &mut actions);
@@ -86,9 +87,10 @@
         actions
     }
 
-    /// Compares what the upstream runs with what was ordered. A task that is there unasked is
-    /// a leftover of an earlier life of this agent, or an order that the upstream carried out
-    /// seconds late: nobody waits for it, and its entry may have started it elsewhere.
+    /// Compares what the upstream runs with what was ordered. A task that was not ordered was left
+    /// by an earlier incarnation of this agent, or is an order that the upstream carried out
+    /// seconds late. It is stopped: no entry waits for it, and its entry may have started it
+    /// elsewhere.
     pub(super) fn reconcile(
         &mut self,
         snapshot: &Snapshot,
@@ -119,7 +121,7 @@
         self.finish_unlisted(snapshot, now, actions);
     }
 
-    /// An attempt that was stopped, is not listed and whose order is void by now never ran.
+    /// Finishes attempts whose orders are void and that the upstream does not list.
     pub(super) fn finish_unlisted(
         &mut self,
         snapshot: &Snapshot,
@@ -143,17 +145,17 @@
             let Some(run) = self.runs.get(&task) else {
                 continue;
             };
-            let end = match (run.in_flight_since, run.is_listed) {
+            let outcome = match (run.in_flight_since, run.is_listed) {
                 (Some(_), _) => Outcome::Lost,
                 (None, false) => Outcome::Refused,
                 (None, true) => Outcome::Stopped,
             };
-            self.finish(&task, end, now, actions);
+            self.finish(&task, outcome, now, actions);
         }
     }
 
-    /// Ends everything once the leases must have lapsed: the upstream has not answered, and
-    /// what ran there is over by its own clock.
+    /// Ends all attempts once their leases must have expired: the upstream has not answered, and by
+    /// its own clock it has ended all that ran there.
     pub(super) fn expire_leases(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.runs.is_empty() || !self.lease.has_lapsed(now) {
             return;
@@ -169,7 +171,7 @@
     pub(super) fn finish(
         &mut self,
         task: &Task,
-        end: Outcome,
+        outcome: Outcome,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
@@ -177,20 +179,21 @@
             return;
         };
         let ran = now.saturating_sub(run.since);
-        // A start that its upstream left unanswered or a stop that was ordered say nothing of
-        // the upstream's health, a failure does.
-        self.health.record(&task.job, end, ran, run.expected, now);
-        if !matches!(end, Outcome::Done) {
+        // Of the outcomes, only completions and failures count as signs of the upstream's health;
+        // unanswered starts and ordered stops don't.
+        self.health
+            .record(&task.job, outcome, ran, run.expected, now);
+        if !matches!(outcome, Outcome::Done) {
             let decision = Decision::new("ended", run.request.clone(), task.job.clone())
                 .with("task", task)
-                .with("end", format_args!("{end:?}"))
+                .with("end", format_args!("{outcome:?}"))
                 .with("ran_ms", ran.as_millis())
                 .with("expected_ms", run.expected.as_millis());
             actions.push(Action::Log(decision));
         }
         let result = AttemptResult {
             attempt: task.attempt,
-            outcome: end,
+            outcome,
             ran,
         };
         self.report_results(&run.entry, vec![result], now, actions);
@@ -209,7 +212,7 @@
             return;
         }
         state.last_load_sent = now;
-        // Ends of one poll go in one message, with the room after the last of them.
+        // Results of one poll are sent in one message, with the load after the last of them.
         if let Some(Action::Send(
             to,
             Message::Ended {
--- a/crates/cassiarock-transient/src/host/upstream.rs
+++ b/crates/cassiarock-transient/src/host/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream: its room, and what entries are told of it.
+//! The upstream's capacity, and what entries are told about it.
 
 use super::run::{Run, Task};
 use super::{Action, Host};
@@ -7,21 +7,23 @@
 use cassiarock_id::Process;
 use std::time::Duration;
 
-/// A task is overdue after this many times what was expected of it, ...
+/// A task is overdue once it has run this many times as long as expected, ...
 const OVERDUE_FACTOR: f64 = 2.5;
 
-/// ... and this much more: estimates are off by 40%, and short tasks by a poll's wait.
+/// ... and at least this much longer: estimates are off by 40%, and short tasks by the wait of a
+/// poll.
 const OVERDUE_MIN_DELAY: Duration = Duration::from_millis(120);
 
-/// So many overdue tasks that are half of all that run tell of the upstream, not of the tasks.
+/// The upstream counts as stalled if at least this many tasks, and at least half of all that run,
+/// are overdue.
 const MIN_STALLED_TASKS: usize = 2;
 
-/// What is told of such an upstream, in hundredths of what was expected: well over the bound
-/// at which entries keep tasks away and move those that are there.
+/// The slowdown that is reported for a stalled upstream, in percent: well over the bound at which
+/// entries avoid an upstream and move its tasks away.
 const STALLED_SLOWDOWN_PERCENT: u16 = 400;
 
 impl Host {
-    /// This agent takes no new work any more.
+    /// Stops accepting new work for good.
     pub fn leave(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.is_leaving = true;
@@ -29,12 +31,12 @@
         actions
     }
 
-    /// Operators are emptying the data centre, or have taken that back.
+    /// Sets whether operators are evacuating the data centre.
     ///
-    /// Entries know it by themselves. It guards against one that does not, as it is cut off from
-    /// the store and from the others, or whose orders were on their way: it is told that the
-    /// upstream takes no new work, and what it has ordered is turned away and placed elsewhere.
-    /// What runs may end.
+    /// Entries usually know this themselves. This covers an entry that does not, because it is cut
+    /// off from the store and from the other entries, or whose orders were in flight: it is told
+    /// that the upstream accepts no new work, and its orders are rejected and placed elsewhere.
+    /// Running tasks may finish.
     pub fn set_evacuated(&mut self, is_evacuated: bool) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.is_evacuated == is_evacuated {
@@ -50,21 +52,21 @@
         actions
     }
 
-    /// Whether operators are emptying the data centre.
+    /// Whether operators are evacuating the data centre.
     #[must_use]
     pub const fn is_evacuated(&self) -> bool {
         self.is_evacuated
     }
 
-    /// Whether nothing new may start here, whatever the upstream says.
+    /// Whether nothing new may start here, whatever the upstream reports.
     pub(super) const fn is_closed(&self) -> bool {
         self.is_leaving || self.is_evacuated
     }
 
-    /// All attempts have ended with their upstream.
+    /// Ends all attempts on the upstream with the same outcome.
     pub(super) fn lose_all(
         &mut self,
-        end: Outcome,
+        outcome: Outcome,
         reason: &'static str,
         now: Duration,
         actions: &mut Vec<Action>,
@@ -78,7 +80,7 @@
             actions.push(Action::Log(decision));
         }
         for task in tasks {
-            self.finish(&task, end, now, actions);
+            self.finish(&task, outcome, now, actions);
         }
     }
 
@@ -101,7 +103,7 @@
         }
     }
 
-    /// The upstream as one entry is to see it.
+    /// The upstream as it is described to one entry.
     pub(super) fn upstream_for(&self, entry: &Process) -> Option<Upstream> {
         let mut upstream = self.upstream()?;
         let state = self.entries.get(entry);
@@ -116,8 +118,8 @@
         Some(upstream)
     }
 
-    /// The pace that tasks show which have not ended: an upstream on which everything stands
-    /// still ends none, and would look as good as before.
+    /// The slowdown shown by tasks that have not ended: an upstream on which all tasks hang reports
+    /// no results and would otherwise look as good as before.
     fn stalled_slowdown(&self, now: Duration) -> u16 {
         let is_overdue = |run: &Run| {
             let bound = run
--- a/crates/cassiarock-transient/src/host/worker.rs
+++ b/crates/cassiarock-transient/src/host/worker.rs
@@ -1,38 +1,38 @@
-//! The upstream as its reports describe it.
+//! The upstream as described by its reports.
 
 use crate::message::Upstream;
 use crate::{Incarnation, Resources};
 use cassiarock_id::Name;
 
-/// Former lives that are remembered, so that a report that a broken network held up is not
-/// taken for a new life.
+/// Number of previous incarnations that are remembered, so that a report that the network delayed
+/// is not taken for a new incarnation.
 const MAX_PREVIOUS_INCARNATIONS: usize = 16;
 
-/// One life of the upstream.
+/// One incarnation of the upstream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Worker {
-    /// Its id.
+    /// The upstream's id.
     pub id: Name,
-    /// When it started, in milliseconds since 1970, if it says so.
+    /// The start time in milliseconds since the Unix epoch, if the upstream reports one.
     pub started_at: Option<u64>,
     /// The pool that it belongs to.
     pub service: Name,
-    /// All its room.
+    /// The total capacity.
     pub capacity: Resources,
-    /// Its kind, its rack and other labels.
+    /// Kind, rack and other labels.
     pub labels: Vec<Name>,
     /// Whether it takes no new work.
     pub is_leaving: bool,
-    /// Its clock at the report, in milliseconds.
+    /// The upstream's clock at the time of the report, in milliseconds.
     pub clock: u64,
-    /// The number of the report.
+    /// The sequence number of the report.
     pub sequence: u64,
     /// Whether it has ended.
     pub is_gone: bool,
-    /// Whether it has not reported yet: only its answer to an order has shown that it is there,
-    /// which does not tell its room.
+    /// Whether it has not reported yet: it is known only from its response to a poll, which does
+    /// not tell its capacity.
     pub is_unreported: bool,
-    /// Its former lives.
+    /// The previous incarnations.
     pub previous_incarnations: Vec<Incarnation>,
 }
 
@@ -48,18 +48,18 @@
         }
     }
 
-    /// Its life.
+    /// The incarnation that the report is about.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         Incarnation::new(self.id.clone()).with_started_at(self.started_at)
     }
 
-    /// Whether it is there and has said what it is.
+    /// Whether it is alive and has reported its capacity.
     pub(super) const fn is_present(&self) -> bool {
         !self.is_gone && !self.is_unreported
     }
 
-    /// This life and former ones.
+    /// The previous incarnations and this one, the latest ones only.
     pub(super) fn incarnations(&self) -> Vec<Incarnation> {
         let mut incarnations = self.previous_incarnations.clone();
         incarnations.push(self.incarnation());
@@ -78,7 +78,7 @@
         }
     }
 
-    /// A later report of the life that `known` describes.
+    /// Adds what `known` says of the same incarnation to a later report.
     pub(super) fn with_history_of(self, known: Self) -> Self {
         Self {
             started_at: self.started_at.or(known.started_at),
