--- a/crates/cassiarock-transient/src/host/incarnations.rs
+++ b/crates/cassiarock-transient/src/host/incarnations.rs
@@ -21,7 +21,7 @@
     Outdated(&'static str),
     /// It is about an unknown incarnation with an earlier start: either the report was delayed or
     /// the upstream's clock was set back. A poll of the upstream decides.
-    Doubtful,
+    Unverified,
     /// A new incarnation has started.
     New,
 }
@@ -36,7 +36,7 @@
             ReportKind::Outdated(reason) => {
                 actions.push(ignored_report(&worker.incarnation(), reason))
             }
-            ReportKind::Doubtful => {
+            ReportKind::Unverified => {
                 actions.push(ignored_report(&worker.incarnation(), "an earlier start"));
                 actions.push(Action::Poll);
             }
@@ -67,7 +67,7 @@
             return ReportKind::Outdated("an earlier life");
         }
         if incarnation.started_before(&present) {
-            return ReportKind::Doubtful;
+            return ReportKind::Unverified;
         }
         ReportKind::New
     }
--- a/crates/cassiarock-transient/src/host/run.rs
+++ b/crates/cassiarock-transient/src/host/run.rs
@@ -19,12 +19,12 @@
 impl Task {
     /// Builds a task from what the upstream reports, when no order for it is known.
     #[must_use]
-    pub fn from_key(job: &Name, named: &AttemptKey) -> Self {
+    pub fn from_key(job: &Name, key: &AttemptKey) -> Self {
         let attempt = Attempt {
             number: 0,
-            stage: named.stage,
-            index: named.index,
-            attempt: named.attempt,
+            stage: key.stage,
+            index: key.index,
+            attempt: key.attempt,
         };
         Self {
             job: job.clone(),
@@ -250,10 +250,10 @@
     }
 
     /// Finds the attempt by the key that the upstream reports.
-    pub(super) fn find_by_key(&self, job: &Name, named: &AttemptKey) -> Option<Task> {
+    pub(super) fn find_by_key(&self, job: &Name, key: &AttemptKey) -> Option<Task> {
         let tasks = self.runs.keys();
         let mut same = tasks.filter(|task| task.job == *job);
-        same.find(|task| named.matches(&task.attempt)).cloned()
+        same.find(|task| key.matches(&task.attempt)).cloned()
     }
 
     /// Finds another attempt at the same task, from any entry.
--- a/crates/cassiarock-transient/src/roster.rs
+++ b/crates/cassiarock-transient/src/roster.rs
@@ -310,7 +310,7 @@
                     *retired = Some(now);
                     Some(LinkAction::Retire(entry.clone()))
                 }
-                Some(told) if now >= told + RETIRE_DELAY && !has_tasks(entry) => {
+                Some(retired_at) if now >= retired_at + RETIRE_DELAY && !has_tasks(entry) => {
                     *state = LinkState::Idle;
                     Some(LinkAction::Drop(address))
                 }
--- a/crates/cassiarock-transient/tests/directory.rs
+++ b/crates/cassiarock-transient/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of entries, as it is passed on.
+//! Tests of the directory of entries and of the updates that are forwarded.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -11,7 +11,7 @@
     format!("10.0.0.{number}:7000").into()
 }
 
-fn place(number: u8) -> Endpoint {
+fn endpoint(number: u8) -> Endpoint {
     Endpoint::new(name(number), "dc-1")
 }
 
@@ -20,18 +20,18 @@
 }
 
 fn update(records: &[(u8, bool)], from: usize, to: usize) -> Option<Update> {
-    let mut gathering = UpdateBuilder::default();
+    let mut builder = UpdateBuilder::default();
     for (offset, (address, is_present)) in records.iter().enumerate().take(to).skip(from) {
-        gathering.add(
+        builder.add(
             offset as u64,
             name(*address),
             is_present.then(|| "dc-1".into()),
         );
     }
-    gathering.take()
+    builder.take()
 }
 
-fn at(records: &[(u8, bool)], end: usize) -> BTreeSet<Name> {
+fn expected_addresses(records: &[(u8, bool)], end: usize) -> BTreeSet<Name> {
     let mut addresses = BTreeSet::new();
     for (address, is_present) in &records[..end] {
         if *is_present {
@@ -52,53 +52,54 @@
         .collect()
 }
 
-// An address that an update neither adds nor drops stays; one that came and went within it is gone.
+// An address that an update neither adds nor deletes stays; one that was added and deleted within
+// it is gone.
 #[test]
-fn the_last_record_of_an_address_counts() {
-    let mut gathering = UpdateBuilder::default();
-    gathering.add(4, name(1), dc());
-    gathering.add(5, name(1), None);
-    gathering.add(6, name(2), dc());
-    let update = gathering.take().unwrap();
+fn the_last_record_of_an_address_wins() {
+    let mut builder = UpdateBuilder::default();
+    builder.add(4, name(1), dc());
+    builder.add(5, name(1), None);
+    builder.add(6, name(2), dc());
+    let update = builder.take().unwrap();
     assert_eq!((update.since, update.next), (4, 7));
     let mut state = State::default();
-    state.apply(&Update::full(4, [place(1), place(3)]));
+    state.apply(&Update::full(4, [endpoint(1), endpoint(3)]));
     state.apply(&update);
     assert_eq!(listed(&state), [name(2), name(3)].into());
-    assert_eq!(gathering.take(), None);
+    assert_eq!(builder.take(), None);
 }
 
-// A restarted entry announces itself under the address that it had. It is no new address, and
-// still has to be told.
+// A restarted entry announces itself under the same address. The address is not new, but the
+// announcement still has to be forwarded.
 #[test]
-fn an_address_that_is_announced_again_is_in_the_update() {
+fn a_repeated_announcement_is_kept_in_the_update() {
     let mut state = State::default();
-    state.apply(&Update::full(4, [place(1)]));
-    let mut gathering = UpdateBuilder::default();
-    gathering.add(4, name(1), dc());
-    let update = gathering.take().unwrap();
+    state.apply(&Update::full(4, [endpoint(1)]));
+    let mut builder = UpdateBuilder::default();
+    builder.add(4, name(1), dc());
+    let update = builder.take().unwrap();
     assert!(matches!(
         state.apply(&update),
         ApplyResult::Changed { added: 0, .. }
     ));
-    assert_eq!(update.present, [place(1)]);
+    assert_eq!(update.present, [endpoint(1)]);
 }
 
 #[test]
-fn an_agent_that_knows_as_much_is_told_nothing_by_a_version() {
+fn an_empty_update_shows_only_missing_records() {
     let mut state = State::default();
-    state.apply(&Update::full(4, [place(1)]));
+    state.apply(&Update::full(4, [endpoint(1)]));
     let version = state.empty_update();
     assert_eq!(state.apply(&version), ApplyResult::Known);
     assert_eq!(State::default().apply(&version), ApplyResult::Gap);
 }
 
 proptest! {
-    // Twelve entries read the topic in pieces of their own and pass them on in any order, some of
-    // them twice, some never. A process that asks for all of it at each gap knows what a reader
-    // of the topic knows.
+    // Twelve entries read the topic in pieces of their own and forward them in any order, some of
+    // them twice, some never. A process that requests a full update at each gap has the same state
+    // as a reader of the topic.
     #[test]
-    fn updates_in_any_pieces_and_order_add_up_to_the_topic(
+    fn updates_in_any_split_and_order_reproduce_the_topic(
         records in proptest::collection::vec((0_u8..6, any::<bool>()), 1..40),
         pieces in proptest::collection::vec((0_usize..40, 1_usize..12), 1..60),
     ) {
@@ -108,10 +109,10 @@
             let to = (from + length).min(records.len());
             let Some(update) = update(&records, from, to) else { continue };
             if state.apply(&update) == ApplyResult::Gap {
-                let all = Update::full(to as u64, at(&records, to).into_iter().map(|at| Endpoint::new(at, "dc-1")));
+                let all = Update::full(to as u64, expected_addresses(&records, to).into_iter().map(|at| Endpoint::new(at, "dc-1")));
                 state.apply(&all);
             }
-            prop_assert_eq!(listed(&state), at(&records, state.next_offset() as usize));
+            prop_assert_eq!(listed(&state), expected_addresses(&records, state.next_offset() as usize));
         }
     }
 }
--- a/crates/cassiarock-transient/tests/host/main.rs
+++ b/crates/cassiarock-transient/tests/host/main.rs
@@ -1,4 +1,4 @@
-//! What an agent does with its upstream.
+//! Tests of the agent's host: tasks on its upstream, leases, incarnations and offers.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/crates/cassiarock-transient/tests/host/polls.rs
+++ b/crates/cassiarock-transient/tests/host/polls.rs
@@ -1,5 +1,4 @@
-//! What an agent does while nothing happens: how long polls of the upstream wait, and how often it
-//! wakes up.
+//! How long polls of the upstream wait while nothing happens, and how often the agent wakes up.
 
 use crate::world::{World, ms};
 use cassiarock_transient::Message;
@@ -7,10 +6,10 @@
 use cassiarock_transient::message::Outcome;
 use cassiarock_transient::timing::{HEARTBEAT_INTERVAL, LEASE, LINK_TIMEOUT};
 
-// An upstream that runs nothing was polled as often as a busy one, 22 times a second: most of what
-// its agent spent.
+// An idle upstream was polled as often as a busy one, 22 times a second: this took most of its
+// agent's processor time.
 #[test]
-fn an_upstream_that_runs_nothing_is_polled_less_often() {
+fn an_idle_upstream_is_polled_less_often() {
     let mut world = World::new();
     let idle = world.host.poll_wait();
     world.order(1, "j", 1);
@@ -20,8 +19,8 @@
     assert_eq!(world.host.poll_wait(), idle);
 }
 
-// A task started just after a poll of an idle upstream had gone out, and one more poll was lost:
-// its lease has to be renewed before it lapses.
+// A task starts just after a poll of an idle upstream was sent, and one more poll is lost. Its
+// lease has to be renewed before it expires.
 #[test]
 fn a_task_that_starts_during_a_long_poll_keeps_its_lease() {
     let world = World::new();
@@ -31,19 +30,19 @@
     assert!(idle < LINK_TIMEOUT);
 }
 
-// A new life of the agent does not know what still runs there.
+// A restarted agent does not know what still runs on the upstream.
 #[test]
-fn an_upstream_that_is_not_known_yet_counts_as_busy() {
+fn an_upstream_that_is_not_reconciled_yet_counts_as_busy() {
     let mut world = World::new();
     let idle = world.host.poll_wait();
     world.report("u-2", 1);
     assert!(world.host.poll_wait() < idle);
 }
 
-// Each of twelve quiet links had a time of its own for heartbeats, so that an agent without any
-// work woke up 120 times a second to send them.
+// Each of twelve quiet links had its own heartbeat times, so that an idle agent woke up 120 times a
+// second to send them.
 #[test]
-fn heartbeats_of_quiet_links_go_out_together() {
+fn heartbeats_of_quiet_links_are_sent_together() {
     let mut world = World::new();
     for number in 2..=12 {
         world.now += ms(8);
@@ -69,7 +68,7 @@
 
 // An upstream that was down for four seconds was polled 150 times, each time over a new connection.
 #[test]
-fn an_upstream_that_is_down_is_polled_less_and_less() {
+fn polls_of_an_upstream_that_is_down_back_off() {
     let mut passed = ms(0);
     let polls = (1..).find(|failures| {
         passed += poll_backoff(*failures);
@@ -77,5 +76,8 @@
     });
     assert!(polls.is_some_and(|polls| polls <= 32), "{polls:?}");
     let at_once = poll_backoff(1) + poll_backoff(2);
-    assert!(at_once <= ms(60), "a lost answer or two cost no time");
+    assert!(
+        at_once <= ms(60),
+        "one or two lost responses cost little time"
+    );
 }
--- a/crates/cassiarock-transient/tests/host/restarts.rs
+++ b/crates/cassiarock-transient/tests/host/restarts.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the id that they had.
+//! Upstreams that restart under the same id.
 
 use crate::world::{World, ms};
 use cassiarock_transient::Incarnation;
@@ -9,25 +9,26 @@
     Incarnation::new("u").with_started_at(Some(at))
 }
 
-/// An agent whose upstream started at 1,000, with one task that runs there.
+/// An agent whose upstream started at 1,000, with one running task.
 fn running() -> World {
     let mut world = World::new();
-    world.report_of(&started_at(1_000), 40);
+    world.report_incarnation(&started_at(1_000), 40);
     world.observe(&[], &[]);
     world.order(1, "j", 1);
     let (task, _) = world.starts[0].clone();
-    world.answer(&task, StartResponse::Started);
+    world.respond_to_start(&task, StartResponse::Started);
     world
 }
 
-// An upstream crashed and came back under its id. Its reports counted anew from 1 and were
-// dropped as old until they passed the former count: a minute without that upstream.
+// An upstream crashed and came back under its id. Its reports were numbered from 1 again and were
+// dropped as old until they passed the previous count, so that the upstream was unused for a
+// minute.
 #[test]
-fn an_upstream_that_starts_again_under_its_id_is_used_again() {
+fn an_upstream_that_restarts_under_its_id_is_used_again() {
     let mut world = running();
-    world.report_of(&started_at(2_000), 1);
+    world.report_incarnation(&started_at(2_000), 1);
     assert_eq!(
-        world.end_of(1),
+        world.outcome_of(1),
         Some(Outcome::Crashed),
         "its tasks are placed elsewhere"
     );
@@ -36,46 +37,46 @@
     assert_eq!(world.starts.len(), 2);
 }
 
-// The new life numbered its ends from 1 again. The agent asked for ends beyond those of the
-// former life, so that the first ones of the new life were never heard of.
+// The new incarnation numbered its results from 1 again. The agent asked for results beyond those
+// of the previous one, and never received the first ones of the new incarnation.
 #[test]
-fn ends_are_counted_anew_in_a_new_life() {
+fn results_are_numbered_from_one_in_a_new_incarnation() {
     let mut world = running();
     world.observe(&[], &[(57, "j", 1, Outcome::Done)]);
     assert_eq!(world.host.last_seen_end(world.now), 57);
-    world.report_of(&started_at(2_000), 1);
+    world.report_incarnation(&started_at(2_000), 1);
     assert_eq!(world.host.last_seen_end(world.now), 0);
     world.observe(&[], &[]);
     world.order(1, "k", 2);
     world.observe(&[], &[(1, "k", 2, Outcome::Done)]);
-    assert_eq!(world.end_of(2), Some(Outcome::Done));
+    assert_eq!(world.outcome_of(2), Some(Outcome::Done));
 }
 
-// While an upstream was down, polls went unanswered. The first one that the new life answered
-// asked it to forget its ends up to the former life's count.
+// Polls went unanswered while an upstream was down. The first one that the new incarnation answered
+// made it drop its results up to the previous incarnation's count.
 #[test]
-fn a_poll_of_an_upstream_that_was_silent_forgets_no_end() {
+fn a_poll_of_a_silent_upstream_acknowledges_no_result() {
     let mut world = running();
     world.observe(&[], &[(57, "j", 1, Outcome::Done)]);
-    world.pass(400);
+    world.advance(400);
     assert_eq!(world.host.last_seen_end(world.now), 0);
     assert_eq!(world.host.renew_leases(world.now), None);
 }
 
-// A new life answered a poll before it had reported. It was taken for the old one: its clock
-// stood far behind, so that leases were renewed until a time in its far future.
+// A new incarnation answered a poll before it had reported, and was taken for the old one. Its
+// clock was far behind, so that leases were renewed until a time in its far future.
 #[test]
-fn an_answer_of_a_new_life_ends_the_former_one_and_opens_nothing_before_a_report() {
+fn a_response_of_a_new_incarnation_ends_the_previous_one_and_starts_nothing_before_a_report() {
     let mut world = running();
     world.now += ms(100);
-    world.answered(&started_at(2_000), world.now, 7, &[]);
-    assert_eq!(world.end_of(1), Some(Outcome::Crashed));
-    world.answered(&started_at(2_000), world.now, 8, &[]);
+    world.poll_answered(&started_at(2_000), world.now, 7, &[]);
+    assert_eq!(world.outcome_of(1), Some(Outcome::Crashed));
+    world.poll_answered(&started_at(2_000), world.now, 8, &[]);
     world.order(1, "k", 2);
     assert_eq!(
-        world.end_of(2),
+        world.outcome_of(2),
         Some(Outcome::Closed),
-        "its room is not known"
+        "its capacity is not known"
     );
     assert!(
         world
@@ -83,23 +84,23 @@
             .renew_leases(world.now)
             .is_some_and(|until| until < 1_000)
     );
-    world.report_of(&started_at(2_000), 1);
+    world.report_incarnation(&started_at(2_000), 1);
     world.order(1, "k", 3);
     assert_eq!(world.starts.len(), 2);
 }
 
 #[test]
-fn held_up_answers_of_a_former_life_change_nothing() {
+fn delayed_responses_of_a_previous_incarnation_are_ignored() {
     let mut world = running();
     let asked = world.now;
     let former = world.incarnation();
     world.now += ms(50);
-    world.ahead = 0;
-    world.report_of(&started_at(2_000), 1);
+    world.clock_offset_ms = 0;
+    world.report_incarnation(&started_at(2_000), 1);
     world.observe(&[], &[]);
     world.order(1, "k", 2);
     let (task, _) = world.starts[1].clone();
-    world.answer(&task, StartResponse::Started);
+    world.respond_to_start(&task, StartResponse::Started);
     let clock = Some(9_000_000);
     let mut actions =
         world
@@ -110,11 +111,11 @@
             .host
             .handle_stop_response(&former, &task, clock, world.now),
     );
-    world.take(actions);
-    world.answered(&former, asked, 9_000_000, &[("j", 1)]);
-    world.report_of(&started_at(1_000), 99);
+    world.apply(actions);
+    world.poll_answered(&former, asked, 9_000_000, &[("j", 1)]);
+    world.report_incarnation(&started_at(1_000), 99);
     assert_eq!(world.incarnation(), started_at(2_000));
-    assert_eq!(world.end_of(2), None);
+    assert_eq!(world.outcome_of(2), None);
     assert!(world.stops.is_empty());
     let renewed = world.host.renew_leases(world.now);
     assert!(
@@ -123,68 +124,68 @@
     );
 }
 
-// A life that nobody had heard of had been and gone while its agent was cut off; its report
-// came last, and all that ran in the life after it was given up.
+// An incarnation that the agent had never seen came and went while the agent was cut off. Its
+// report arrived last, and the agent gave up all tasks of the incarnation after it.
 #[test]
-fn a_report_of_an_unknown_life_that_started_earlier_is_checked_by_a_poll() {
+fn a_report_of_an_unknown_earlier_incarnation_is_checked_by_a_poll() {
     let mut world = running();
-    world.report_of(&started_at(900), 5);
+    world.report_incarnation(&started_at(900), 5);
     assert_eq!(world.incarnation(), started_at(1_000));
     assert_eq!(world.polls, 1);
     world.observe(&[("j", 1)], &[]);
-    assert_eq!(world.end_of(1), None);
+    assert_eq!(world.outcome_of(1), None);
 }
 
-// The clock of an upstream was set back before it started again: its new life looks older than
-// the former one.
+// The clock of an upstream was set back before it restarted: its new incarnation looks older than
+// the previous one.
 #[test]
-fn a_life_that_starts_earlier_by_its_clock_is_found_by_its_answer() {
+fn an_incarnation_with_an_earlier_start_time_is_found_by_its_response() {
     let mut world = running();
     world.now += ms(100);
-    world.report_of(&started_at(500), 1);
+    world.report_incarnation(&started_at(500), 1);
     let former = world.host.fence();
-    world.answered(&started_at(500), world.now, 7, &[]);
-    world.report_of(&started_at(500), 2);
-    world.answered(&started_at(500), world.now, 8, &[]);
-    assert_eq!(world.end_of(1), Some(Outcome::Crashed));
+    world.poll_answered(&started_at(500), world.now, 7, &[]);
+    world.report_incarnation(&started_at(500), 2);
+    world.poll_answered(&started_at(500), world.now, 8, &[]);
+    assert_eq!(world.outcome_of(1), Some(Outcome::Crashed));
     world.order(1, "k", 2);
     assert_eq!(world.starts.len(), 2);
     assert!(world.host.fence() > former);
 }
 
-// A report of another writer named a start far ahead. The upstream's own reports were then
-// those of a former life, and the agent never used it again.
+// A report from another writer named a start time far in the future. The upstream's own reports
+// then counted as those of a previous incarnation, and the agent never used it again.
 #[test]
-fn a_false_report_keeps_no_upstream_out_for_good() {
+fn a_false_report_does_not_exclude_the_upstream_for_good() {
     let mut world = running();
-    world.report_of(&started_at(9_000_000), 1);
+    world.report_incarnation(&started_at(9_000_000), 1);
     world.now += ms(10);
     let clock = world.clock();
-    world.answered(&started_at(1_000), world.now, clock, &[]);
-    world.report_of(&started_at(1_000), 41);
+    world.poll_answered(&started_at(1_000), world.now, clock, &[]);
+    world.report_incarnation(&started_at(1_000), 41);
     world.observe(&[], &[]);
     world.order(1, "k", 2);
     assert_eq!(world.starts.len(), 2);
 }
 
-// The same with another id: no answer came under that, only a refusal.
+// The same with a report under another id, under which no poll is answered but rejected.
 #[test]
-fn a_false_report_under_another_id_keeps_no_upstream_out_for_good() {
+fn a_false_report_under_another_id_does_not_exclude_the_upstream_for_good() {
     let mut world = World::new();
     world.report("stranger", 1);
     let incarnation = world.incarnation();
     let actions = world.host.handle_replacement(&incarnation, world.now);
-    world.take(actions);
+    world.apply(actions);
     world.report("u-1", 2);
     world.observe(&[], &[]);
     world.order(1, "k", 2);
     assert_eq!(world.starts.len(), 1);
 }
 
-// Each report replaced what was known of former lives, so that from the second one on a held-up
-// report of a former life was taken for a new one.
+// Each report replaced the list of previous incarnations, so that from the second report on a
+// delayed report of a previous incarnation was taken for a new one.
 #[test]
-fn former_lives_are_remembered_beyond_the_next_report() {
+fn previous_incarnations_are_remembered_beyond_the_next_report() {
     let mut world = World::new();
     world.report("u-2", 1);
     world.report("u-2", 2);
@@ -192,60 +193,60 @@
     assert_eq!(world.incarnation(), Incarnation::new("u-2"));
 }
 
-// An order was on its way when its upstream crashed. The new life has the id that the order
-// names, and carried it out, while its task had been started elsewhere.
+// An order was in flight when its upstream crashed. The new incarnation has the id that the order
+// names and carried it out, while its task had been started elsewhere.
 #[test]
-fn an_order_under_way_to_a_former_life_is_over_only_when_the_new_one_shows_it() {
+fn an_order_in_flight_across_a_restart_ends_only_when_the_new_incarnation_shows_it() {
     let mut world = World::new();
-    world.report_of(&started_at(1_000), 40);
+    world.report_incarnation(&started_at(1_000), 40);
     world.observe(&[], &[]);
     world.order(1, "j", 1);
     let asked = world.now;
     world.now += ms(50);
     let fence = world.host.fence();
-    world.report_of(&started_at(2_000), 1);
+    world.report_incarnation(&started_at(2_000), 1);
     assert!(
         world.host.fence() > fence,
-        "no later order of the former incarnation counts"
+        "later orders of the previous incarnation are void"
     );
-    assert_eq!(world.end_of(1), None);
+    assert_eq!(world.outcome_of(1), None);
     assert_eq!(world.stops.len(), 1);
-    world.answered(&started_at(2_000), asked, 5, &[]);
+    world.poll_answered(&started_at(2_000), asked, 5, &[]);
     assert_eq!(
-        world.end_of(1),
+        world.outcome_of(1),
         None,
         "that poll may have gone out before the order"
     );
     world.now += ms(5);
-    world.answered(&started_at(2_000), world.now, 10, &[("j", 1)]);
-    assert_eq!(world.end_of(1), None, "it runs there");
-    world.answered(&started_at(2_000), world.now, 11, &[]);
-    assert_eq!(world.end_of(1), Some(Outcome::Lost), "it has run");
+    world.poll_answered(&started_at(2_000), world.now, 10, &[("j", 1)]);
+    assert_eq!(world.outcome_of(1), None, "it runs there");
+    world.poll_answered(&started_at(2_000), world.now, 11, &[]);
+    assert_eq!(world.outcome_of(1), Some(Outcome::Lost), "it has run");
 }
 
-// A former life's deregistration was held up and came when the next one had started under the same
-// id: what ran there was given up, and started elsewhere while it ran on.
+// The deregistration of a previous incarnation was delayed and came after the next one had started
+// under the same id. The running tasks were given up and started elsewhere while they ran on.
 #[test]
-fn a_held_up_deregistration_of_a_former_life_ends_nothing() {
+fn a_delayed_deregistration_of_a_previous_incarnation_ends_nothing() {
     let mut world = running();
     let actions = world.host.deregister("u", world.now);
-    world.take(actions);
-    assert_eq!(world.end_of(1), None);
+    world.apply(actions);
+    assert_eq!(world.outcome_of(1), None);
 }
 
-// Another agent had known a life of the upstream with a later start. Its fence was higher, and
-// nothing that this one ordered was done any more.
+// Another agent had known an incarnation of the upstream with a later start time and used a higher
+// fence. The upstream then rejected all orders of this agent.
 #[test]
 fn a_fence_that_is_too_low_is_raised() {
     let mut world = running();
     let before = world.host.fence();
     let incarnation = world.incarnation();
     let actions = world.host.raise_fence(&incarnation);
-    world.take(actions);
+    world.apply(actions);
     assert!(world.host.fence() > before);
     let former = world.host.raise_fence(&started_at(7));
     assert!(former.is_empty());
-    // A start that lay ten years ahead is reached within a second of polls.
+    // A start time ten years ahead is reached within a second of polls.
     let ten_years = 10 * 365 * 24 * 3_600_000_u64;
     let tries = (0..).find(|_| {
         world.host.raise_fence(&incarnation);
--- a/crates/cassiarock-transient/tests/host/room.rs
+++ b/crates/cassiarock-transient/tests/host/room.rs
@@ -1,4 +1,4 @@
-//! Whom an agent tells of freed room.
+//! Notification of entries about freed capacity, and offers of it.
 
 use crate::world::{World, entry, ms};
 use cassiarock_id::Process;
@@ -6,8 +6,8 @@
 use cassiarock_transient::message::{CapacityRequest, Outcome};
 use cassiarock_transient::{Message, Resources};
 
-/// The entries that are sent a heartbeat by these actions.
-fn told(actions: &[Action]) -> Vec<u64> {
+/// The numbers of the entries that these actions send a heartbeat to.
+fn heartbeat_targets(actions: &[Action]) -> Vec<u64> {
     let beats = actions.iter().filter_map(|action| match action {
         Action::Send(to, Message::AgentHeartbeat { .. }) => Some(to),
         _ => None,
@@ -25,45 +25,50 @@
     world
 }
 
-// A task ended, and only its own entry heard of the room at once; it had nothing to place. Jobs
-// of others waited up to a tenth of a second for the agent's next heartbeat beside free room,
+// When a task ended, only its own entry was notified of the free capacity at once, and it had
+// nothing to place. Jobs of other entries waited up to 100 ms for the agent's next heartbeat,
 // longer than the most urgent ones can.
 #[test]
-fn one_more_entry_hears_of_freed_room_at_once() {
+fn one_more_entry_is_notified_of_freed_capacity_at_once() {
     let mut world = with_three_entries();
     world.now += ms(50);
-    let actions = world.end_by_poll(1, "j", 1, Outcome::Done);
-    assert_eq!(told(&actions).len(), 1, "{actions:?}");
+    let actions = world.end_in_poll(1, "j", 1, Outcome::Done);
+    assert_eq!(heartbeat_targets(&actions).len(), 1, "{actions:?}");
     assert!(
-        !told(&actions).contains(&1),
+        !heartbeat_targets(&actions).contains(&1),
         "its own entry is told of the end"
     );
 }
 
 #[test]
-fn entries_hear_of_freed_room_by_turns() {
+fn entries_are_notified_of_freed_capacity_in_turn() {
     let mut world = with_three_entries();
     world.order(1, "k", 1);
     world.now += ms(50);
-    let mut all = told(&world.end_by_poll(1, "j", 1, Outcome::Done));
-    all.extend(told(&world.end_by_poll(2, "k", 1, Outcome::Done)));
+    let mut all = heartbeat_targets(&world.end_in_poll(1, "j", 1, Outcome::Done));
+    all.extend(heartbeat_targets(&world.end_in_poll(
+        2,
+        "k",
+        1,
+        Outcome::Done,
+    )));
     all.sort_unstable();
     assert_eq!(all, [2, 3]);
 }
 
-// With few entries and many short tasks the agent would say the same again and again.
+// With few entries and many short tasks, the agent would send the same load again and again.
 #[test]
-fn an_entry_that_was_told_just_now_is_not_told_again() {
+fn an_entry_notified_just_now_is_not_notified_again() {
     let mut world = with_three_entries();
     world.now += ms(100);
     world.poll();
     world.now += ms(5);
-    let actions = world.end_by_poll(1, "j", 1, Outcome::Done);
-    assert!(told(&actions).is_empty(), "{actions:?}");
+    let actions = world.end_in_poll(1, "j", 1, Outcome::Done);
+    assert!(heartbeat_targets(&actions).is_empty(), "{actions:?}");
 }
 
-/// What an entry waits for: one task of a job with this priority that has to start in time.
-fn ask(urgency: u32) -> CapacityRequest {
+/// A request for one task of a job with this priority that has to start in time.
+fn request(urgency: u32) -> CapacityRequest {
     CapacityRequest {
         is_late: false,
         is_unstarted: true,
@@ -75,8 +80,8 @@
     }
 }
 
-/// An entry says what it waits for. Gives whom the agent then offers room to.
-fn asks(world: &mut World, number: u64, ask: Option<CapacityRequest>) -> Option<Process> {
+/// An entry sends a capacity request. Returns the entry that the agent then offers capacity to.
+fn send_request(world: &mut World, number: u64, ask: Option<CapacityRequest>) -> Option<Process> {
     let message = Message::EntryHeartbeat {
         echo: u64::try_from(world.now.as_millis()).unwrap(),
         version: 1,
@@ -100,8 +105,8 @@
     })
 }
 
-/// An agent whose ten places are taken, with two more entries.
-fn full() -> World {
+/// An agent without free capacity, with ten tasks of entry 1, linked to entries 1 to 3.
+fn full_agent() -> World {
     let mut world = World::new();
     world.link(2);
     world.link(3);
@@ -112,14 +117,14 @@
     world
 }
 
-// Front desks looked seats up at one entry while another one had assignments to place that could
-// wait. Whichever heard first of a freed place took it; half of the look-ups came too late.
+// One entry had urgent look-ups to place while another had jobs that could wait. Whichever heard
+// first of free capacity took it, and half of the look-ups came too late.
 #[test]
-fn freed_room_is_offered_to_the_most_urgent_ask_and_held_against_the_others() {
-    let mut world = full();
-    asks(&mut world, 2, Some(ask(2)));
-    asks(&mut world, 3, Some(ask(0)));
-    let actions = world.end_by_poll(1, "j-0", 1, Outcome::Done);
+fn freed_capacity_is_held_for_the_most_urgent_request() {
+    let mut world = full_agent();
+    send_request(&mut world, 2, Some(request(2)));
+    send_request(&mut world, 3, Some(request(0)));
+    let actions = world.end_in_poll(1, "j-0", 1, Outcome::Done);
     assert_eq!(offered(&actions), Some(entry(3)));
     world.order(2, "hasty", 1);
     assert_eq!(world.starts.len(), 10);
@@ -128,58 +133,57 @@
 }
 
 #[test]
-fn an_entry_that_passes_leaves_the_room_to_the_next_one() {
-    let mut world = full();
-    asks(&mut world, 2, Some(ask(2)));
-    asks(&mut world, 3, Some(ask(0)));
-    world.end_by_poll(1, "j-0", 1, Outcome::Done);
-    assert_eq!(asks(&mut world, 3, None), Some(entry(2)));
+fn a_declined_offer_goes_to_the_next_entry() {
+    let mut world = full_agent();
+    send_request(&mut world, 2, Some(request(2)));
+    send_request(&mut world, 3, Some(request(0)));
+    world.end_in_poll(1, "j-0", 1, Outcome::Done);
+    assert_eq!(send_request(&mut world, 3, None), Some(entry(2)));
 }
 
-// The entry that was offered room had been killed. Nobody else was given it until the agent
-// had missed the entry's heartbeats.
+// The entry that was offered capacity had been killed. No other entry was offered it until the
+// agent had missed the heartbeats of the first.
 #[test]
-fn room_is_offered_to_the_next_entry_if_the_first_one_says_nothing() {
-    let mut world = full();
-    asks(&mut world, 2, Some(ask(2)));
-    asks(&mut world, 3, Some(ask(0)));
-    world.end_by_poll(1, "j-0", 1, Outcome::Done);
+fn an_unanswered_offer_goes_to_the_next_entry() {
+    let mut world = full_agent();
+    send_request(&mut world, 2, Some(request(2)));
+    send_request(&mut world, 3, Some(request(0)));
+    world.end_in_poll(1, "j-0", 1, Outcome::Done);
     world.now += ms(10);
     let actions = world.host.poll(world.now);
     assert_eq!(offered(&actions), Some(entry(2)));
 }
 
 #[test]
-fn an_ask_that_was_not_repeated_counts_no_more() {
-    let mut world = full();
-    asks(&mut world, 3, Some(ask(0)));
+fn a_request_that_was_not_repeated_expires() {
+    let mut world = full_agent();
+    send_request(&mut world, 3, Some(request(0)));
     world.now += ms(150);
-    let actions = world.end_by_poll(1, "j-0", 1, Outcome::Done);
+    let actions = world.end_in_poll(1, "j-0", 1, Outcome::Done);
     assert_eq!(offered(&actions), None);
 }
 
-// Each heartbeat of an entry with waiting jobs made an agent in an emptied data centre offer room
-// that nobody could use, ten times a second and entry.
+// Each heartbeat of an entry with waiting jobs made an agent in an evacuated data centre offer
+// capacity that nobody could use, ten times a second per entry.
 #[test]
-fn an_agent_that_takes_nothing_new_offers_nothing() {
-    let mut world = full();
+fn an_agent_that_accepts_no_new_work_offers_nothing() {
+    let mut world = full_agent();
     world.host.set_evacuated(true);
-    world.end_by_poll(1, "j-0", 1, Outcome::Done);
+    world.end_in_poll(1, "j-0", 1, Outcome::Done);
     let message = Message::EntryHeartbeat {
         echo: u64::try_from(world.now.as_millis()).unwrap(),
         version: 1,
-        ask: Some(ask(0)),
+        ask: Some(request(0)),
     };
     let actions = world.host.handle_message(&entry(3), message, world.now);
     assert_eq!(actions, []);
 }
 
-// Two tasks of a job ended within one poll of their upstream. Their entry was told of both ends in
-// one message, with the room as it was after the first: the second place stayed empty until the
-// next heartbeat.
+// Two tasks of a job ended within one poll. Their entry received both results in one message with
+// the load after the first one, so that the second slot stayed empty until the next heartbeat.
 #[test]
-fn ends_that_are_told_together_come_with_the_room_after_the_last() {
-    let mut world = full();
+fn results_sent_together_carry_the_load_after_the_last_one() {
+    let mut world = full_agent();
     world.observe(
         &[],
         &[(1, "j-0", 1, Outcome::Done), (2, "j-1", 1, Outcome::Done)],
--- a/crates/cassiarock-transient/tests/host/shrink.rs
+++ b/crates/cassiarock-transient/tests/host/shrink.rs
@@ -1,9 +1,9 @@
-//! Room that shrinks and grows while tasks run.
+//! Capacity that shrinks and grows while tasks run.
 
 use crate::world::{World, ms};
 use cassiarock_transient::message::Outcome;
 
-/// An agent with so many tasks of one core each, of the ten that fit.
+/// An agent with this many tasks of one core each, of the ten that fit.
 fn with_tasks(count: u32) -> World {
     let mut world = World::new();
     for attempt in 1..=count {
@@ -13,10 +13,10 @@
     world
 }
 
-// An upstream's room shrank below what ran there. More was started on it as soon as one task
-// ended, though what ran still took more than there was.
+// An upstream's capacity shrank below what its running tasks took. A new task was started as soon
+// as one had ended, although the others still exceeded the capacity.
 #[test]
-fn nothing_starts_before_what_runs_fits_into_the_shrunk_room() {
+fn nothing_starts_until_running_tasks_fit_the_reduced_capacity() {
     let mut world = with_tasks(8);
     world.resize(4_000);
     assert_eq!(world.load.free.cpu, 0);
@@ -25,7 +25,7 @@
         world.observe(&[], &[(u64::from(ended), &job, ended, Outcome::Done)]);
         world.order(1, "k", 20 + ended);
         assert_eq!(
-            world.end_of(20 + ended),
+            world.outcome_of(20 + ended),
             Some(Outcome::Full),
             "after {ended} ends"
         );
@@ -36,9 +36,9 @@
     assert_eq!(world.starts.len(), 9);
 }
 
-// Entries went on placing for up to a tenth of a second by the room that had been.
+// Entries kept placing tasks by the old capacity for up to 100 ms.
 #[test]
-fn entries_hear_of_shrunk_room_at_once() {
+fn entries_are_told_of_changed_capacity_at_once() {
     let mut world = with_tasks(2);
     world.resize(3_000);
     assert_eq!(world.load.free.cpu, 1_000);
@@ -47,58 +47,59 @@
 }
 
 #[test]
-fn an_upstream_without_room_is_given_nothing_and_is_used_again_when_it_grows() {
+fn an_upstream_without_capacity_gets_no_tasks_until_it_grows() {
     let mut world = with_tasks(1);
     for cpu in [0, 999] {
         world.resize(cpu);
         world.order(1, "k", 40 + u32::try_from(cpu).unwrap());
     }
-    assert_eq!(world.end_of(40), Some(Outcome::Full));
-    assert_eq!(world.end_of(1_039), Some(Outcome::Full));
+    assert_eq!(world.outcome_of(40), Some(Outcome::Full));
+    assert_eq!(world.outcome_of(1_039), Some(Outcome::Full));
     world.resize(2_000);
     world.order(1, "l", 50);
     assert_eq!(world.starts.len(), 2);
 }
 
-// A task that was being stopped still took its room while the new one started: together they
-// were more than the upstream had left.
+// A task that was being stopped still took capacity when the new one started: together they
+// exceeded the reduced capacity.
 #[test]
-fn what_is_being_stopped_counts_in_the_shrunk_room() {
+fn tasks_being_stopped_count_against_the_reduced_capacity() {
     let mut world = with_tasks(4);
     world.resize(4_000);
-    let actions =
-        world
-            .host
-            .handle_halt(&crate::world::entry(1), &[crate::world::held(1)], world.now);
-    world.take(actions);
+    let actions = world.host.handle_halt(
+        &crate::world::entry(1),
+        &[crate::world::attempt_id(1)],
+        world.now,
+    );
+    world.apply(actions);
     world.now += ms(20);
     world.order(1, "k", 60);
-    assert_eq!(world.end_of(60), Some(Outcome::Full));
+    assert_eq!(world.outcome_of(60), Some(Outcome::Full));
     world.observe(&[], &[(1, "j-1", 1, Outcome::Stopped)]);
     world.order(1, "l", 61);
     assert_eq!(world.starts.len(), 5);
 }
 
-// An offer was made of room that a report then took away. Its entry's order came within the time
-// that the room was held, and was started beyond what there was.
+// Capacity was offered that a report then took away. The entry's order came while the offer was
+// open, and its task was started beyond the capacity.
 #[test]
-fn room_that_was_offered_and_is_gone_is_not_given() {
+fn offered_capacity_that_has_vanished_is_not_used() {
     let mut world = with_tasks(9);
     world.observe(&[], &[(1, "j-1", 1, Outcome::Done)]);
     world.resize(8_000);
     world.order(1, "k", 70);
-    assert_eq!(world.end_of(70), Some(Outcome::Full));
+    assert_eq!(world.outcome_of(70), Some(Outcome::Full));
 }
 
-// A held-up report told of the room that had been before it shrank.
+// A delayed report carried the capacity from before it shrank.
 #[test]
-fn an_older_report_of_more_room_changes_nothing() {
+fn an_older_report_of_more_capacity_is_ignored() {
     let mut world = with_tasks(2);
     world.resize(3_000);
     let older = world.host.worker().cloned().unwrap_or_default();
     world.resize(2_000);
     let actions = world.host.handle_report(older, world.now);
-    world.take(actions);
+    world.apply(actions);
     world.order(1, "k", 80);
-    assert_eq!(world.end_of(80), Some(Outcome::Full));
+    assert_eq!(world.outcome_of(80), Some(Outcome::Full));
 }
--- a/crates/cassiarock-transient/tests/host/world.rs
+++ b/crates/cassiarock-transient/tests/host/world.rs
@@ -1,4 +1,4 @@
-//! An agent with an upstream and an entry.
+//! A simulated agent with an upstream and linked entries.
 
 use cassiarock_id::Process;
 use cassiarock_transient::host::{Action, AttemptKey, Snapshot, StartResponse, Task, Worker};
@@ -14,24 +14,24 @@
     Process::new(format!("entry-{number}"), 1)
 }
 
-/// An agent and what it has said so far.
+/// An agent and the actions it has taken so far.
 pub struct World {
     pub host: Host,
     pub now: Duration,
     pub starts: Vec<(Task, u64)>,
     pub stops: Vec<Task>,
-    /// How many polls were asked for at once.
+    /// The number of immediate polls that were requested.
     pub polls: usize,
     pub results: Vec<(Process, AttemptResult)>,
     pub load: Load,
-    /// Of which loss the tasks that are ordered are suspected.
+    /// The loss that ordered tasks are suspected of.
     pub suspect: Option<cassiarock_id::Name>,
-    /// The upstream's clock is the agent's and this much more.
-    pub ahead: u64,
+    /// The offset of the upstream's clock from the agent's, in milliseconds.
+    pub clock_offset_ms: u64,
 }
 
 impl World {
-    /// An agent whose upstream has room for ten tasks of one core, linked to one entry.
+    /// An agent whose upstream has capacity for ten tasks of one core, linked to entry 1.
     pub fn new() -> Self {
         let mut world = Self {
             host: Host::new(),
@@ -42,7 +42,7 @@
             results: Vec::new(),
             load: Load::default(),
             suspect: None,
-            ahead: 500_000,
+            clock_offset_ms: 500_000,
         };
         world.report("u-1", 1);
         world.observe(&[], &[]);
@@ -51,14 +51,14 @@
     }
 
     pub fn clock(&self) -> u64 {
-        u64::try_from(self.now.as_millis()).unwrap() + self.ahead
+        u64::try_from(self.now.as_millis()).unwrap() + self.clock_offset_ms
     }
 
     pub fn report(&mut self, id: &str, sequence: u64) {
-        self.report_of(&Incarnation::new(id), sequence);
+        self.report_incarnation(&Incarnation::new(id), sequence);
     }
 
-    /// The upstream reports that it has this much room from now on.
+    /// The upstream reports this CPU capacity from now on.
     pub fn resize(&mut self, cpu: u64) {
         let known = self.host.worker().cloned().unwrap_or_default();
         let worker = Worker {
@@ -67,11 +67,11 @@
             ..known
         };
         let actions = self.host.handle_report(worker, self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// A report of one life.
-    pub fn report_of(&mut self, incarnation: &Incarnation, sequence: u64) {
+    /// The given incarnation reports.
+    pub fn report_incarnation(&mut self, incarnation: &Incarnation, sequence: u64) {
         let worker = Worker {
             id: incarnation.id.clone(),
             started_at: incarnation.started_at,
@@ -82,10 +82,10 @@
             ..Worker::default()
         };
         let actions = self.host.handle_report(worker, self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// The life of the upstream that the agent knows.
+    /// The incarnation of the upstream that the agent knows.
     pub fn incarnation(&self) -> Incarnation {
         self.host
             .worker()
@@ -93,8 +93,8 @@
             .unwrap_or_default()
     }
 
-    /// A poll that was sent at `asked` is answered by this life, whose clock is at `clock`.
-    pub fn answered(
+    /// A poll that was sent at `asked` is answered by this incarnation, with its clock at `clock`.
+    pub fn poll_answered(
         &mut self,
         incarnation: &Incarnation,
         asked: Duration,
@@ -107,26 +107,26 @@
             clock,
             asked,
             running: running
-                .map(|(job, attempt)| ((*job).into(), named(*attempt)))
+                .map(|(job, attempt)| ((*job).into(), attempt_key(*attempt)))
                 .collect(),
             ended: Vec::new(),
         };
         let actions = self.host.handle_snapshot(&snapshot, self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
     pub fn link(&mut self, number: u64) {
         let actions = self.host.link(&entry(number), self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// An entry orders one task of a job; it has just heard the agent.
+    /// An entry that has just received the agent's clock orders one task of a job.
     pub fn order(&mut self, number: u64, job: &str, attempt: u32) {
-        self.order_after(number, job, attempt, self.now);
+        self.order_with_echo(number, job, attempt, self.now);
     }
 
-    /// The same, when the entry last heard the agent at `echo`.
-    pub fn order_after(&mut self, number: u64, job: &str, attempt: u32, echo: Duration) {
+    /// Like [`Self::order`], with the agent's clock as the entry last received it at `echo`.
+    pub fn order_with_echo(&mut self, number: u64, job: &str, attempt: u32, echo: Duration) {
         let order = Order {
             number: 7,
             job: job.into(),
@@ -144,24 +144,24 @@
         let actions = self
             .host
             .handle_orders(&entry(number), 1, echo, vec![order], self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    pub fn answer(&mut self, task: &Task, answer: StartResponse) {
+    pub fn respond_to_start(&mut self, task: &Task, answer: StartResponse) {
         let clock = Some(self.clock());
         let actions =
             self.host
                 .handle_start_response(&self.incarnation(), task, answer, clock, self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    pub fn stopped(&mut self, task: &Task) -> Vec<Action> {
+    pub fn confirm_stop(&mut self, task: &Task) -> Vec<Action> {
         let clock = Some(self.clock());
         self.host
             .handle_stop_response(&self.incarnation(), task, clock, self.now)
     }
 
-    /// A poll shows these jobs' tasks as running, and these as ended.
+    /// A poll lists these attempts as running and these as ended.
     pub fn observe(&mut self, running: &[(&str, u32)], ended: &[(u64, &str, u32, Outcome)]) {
         let renewed = self.host.renew_leases(self.now);
         assert!(renewed.is_none_or(|until| until <= self.clock() + 1_000));
@@ -171,37 +171,39 @@
             asked: self.now,
             running: running
                 .iter()
-                .map(|(job, attempt)| ((*job).into(), named(*attempt)))
+                .map(|(job, attempt)| ((*job).into(), attempt_key(*attempt)))
                 .collect(),
             ended: ended
                 .iter()
-                .map(|(number, job, attempt, end)| (*number, (*job).into(), named(*attempt), *end))
+                .map(|(number, job, attempt, outcome)| {
+                    (*number, (*job).into(), attempt_key(*attempt), *outcome)
+                })
                 .collect(),
         };
         let actions = self.host.handle_snapshot(&snapshot, self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// A poll shows that the task of a job has ended. Gives what the agent does.
-    pub fn end_by_poll(
+    /// A poll lists a task as ended. Returns the agent's actions.
+    pub fn end_in_poll(
         &mut self,
         number: u64,
         job: &str,
         attempt: u32,
-        end: Outcome,
+        outcome: Outcome,
     ) -> Vec<Action> {
         let snapshot = Snapshot {
             incarnation: self.incarnation(),
             clock: self.clock(),
             asked: self.now,
             running: Vec::new(),
-            ended: vec![(number, job.into(), named(attempt), end)],
+            ended: vec![(number, job.into(), attempt_key(attempt), outcome)],
         };
         self.host.handle_snapshot(&snapshot, self.now)
     }
 
-    /// Lets time pass in which the entry is heard.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances the time in steps of 10 ms while entry 1 keeps sending heartbeats.
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now += ms(10);
             self.host.record_echo(&entry(1), self.now);
@@ -211,16 +213,16 @@
 
     pub fn poll(&mut self) {
         let actions = self.host.poll(self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    pub fn end_of(&self, attempt: u32) -> Option<Outcome> {
+    pub fn outcome_of(&self, attempt: u32) -> Option<Outcome> {
         let mut results = self.results.iter();
         let found = results.find(|(_, result)| result.attempt.attempt == attempt);
         found.map(|(_, result)| result.outcome)
     }
 
-    pub fn take(&mut self, actions: Vec<Action>) {
+    pub fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Start { task, until, .. } => self.starts.push((task, until)),
@@ -238,7 +240,7 @@
     }
 }
 
-fn named(attempt: u32) -> AttemptKey {
+fn attempt_key(attempt: u32) -> AttemptKey {
     AttemptKey {
         stage: 0,
         index: 0,
@@ -246,7 +248,7 @@
     }
 }
 
-pub fn held(attempt: u32) -> Attempt {
+pub fn attempt_id(attempt: u32) -> Attempt {
     Attempt {
         number: 7,
         stage: 0,
--- a/crates/cassiarock-transient/tests/roster.rs
+++ b/crates/cassiarock-transient/tests/roster.rs
@@ -1,4 +1,4 @@
-//! An agent's links to entries.
+//! Tests of how agents and entries choose their links.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -18,7 +18,7 @@
     SocketAddr::from(([10, 0, byte(high), byte(low)], 7_000))
 }
 
-/// An agent among entries that answer, unless they are down.
+/// An agent among entries that accept links unless they are down.
 struct World {
     roster: Roster,
     now: Duration,
@@ -26,7 +26,7 @@
     dialled: BTreeSet<SocketAddr>,
     down: BTreeSet<SocketAddr>,
     retired: BTreeSet<Process>,
-    /// Entries that have tasks on the agent.
+    /// Entries with tasks on the agent.
     busy: BTreeSet<Process>,
     serial: u64,
 }
@@ -49,12 +49,12 @@
         world
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 50 {
             self.now += ms(50);
             let busy = self.busy.clone();
-            for step in self.roster.poll(self.now, |entry| busy.contains(entry)) {
-                self.take(step);
+            for action in self.roster.poll(self.now, |entry| busy.contains(entry)) {
+                self.apply(action);
             }
             let reached = self.dialled.iter().filter(|at| !self.down.contains(at));
             for at in reached.copied().collect::<Vec<_>>() {
@@ -66,8 +66,8 @@
         }
     }
 
-    fn take(&mut self, step: LinkAction) {
-        match step {
+    fn apply(&mut self, action: LinkAction) {
+        match action {
             LinkAction::Dial(at) => assert!(self.dialled.insert(at), "dialled once"),
             LinkAction::Drop(at) => {
                 self.dialled.remove(&at);
@@ -80,8 +80,8 @@
         }
     }
 
-    /// The entry ends; the agent dials it until it is back.
-    fn end(&mut self, at: SocketAddr) {
+    /// Stops an entry; the agent dials it until it is back.
+    fn stop_entry(&mut self, at: SocketAddr) {
         self.down.insert(at);
         if let Some(serial) = self.linked.remove(&at) {
             self.dialled.insert(at);
@@ -98,27 +98,27 @@
 #[test]
 fn an_agent_links_to_all_entries_of_a_small_system() {
     let mut world = World::new("agent-1", LINKS_PER_AGENT);
-    world.pass(1_000);
+    world.advance(1_000);
     assert_eq!(world.linked.len(), LINKS_PER_AGENT);
 }
 
-// A system had grown to 300 VMs. Each agent was linked to each entry, and an entry had no
-// processor time left for callers: all of it went into heartbeats.
+// In a system of 300 VMs each agent was linked to each entry. Heartbeats took all processor time of
+// an entry, and none was left for callers.
 #[test]
 fn an_agent_links_to_a_few_entries_of_a_large_system() {
     let mut world = World::new("agent-1", 64);
-    world.pass(20_000);
+    world.advance(20_000);
     assert_eq!(world.linked.len(), LINKS_PER_AGENT);
     assert!(world.dialled.is_empty());
 }
 
-// With few links for each agent an entry might have got none, and would refuse every caller.
+// With few links per agent an entry could be left without any agent and would refuse every caller.
 #[test]
 fn the_links_of_all_agents_spread_over_all_entries() {
     let mut agents: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for number in 0..240 {
         let mut world = World::new(&format!("agent-{number}"), 64);
-        world.pass(1_000);
+        world.advance(1_000);
         for at in world.linked.keys() {
             *agents.entry(*at).or_default() += 1;
         }
@@ -131,131 +131,134 @@
 }
 
 #[test]
-fn another_entry_is_linked_in_place_of_one_that_is_gone() {
+fn an_entry_that_is_gone_is_replaced_by_another() {
     let mut world = World::new("agent-1", 64);
-    world.pass(1_000);
+    world.advance(1_000);
     let first = *world.linked.keys().next().unwrap();
-    world.end(first);
-    world.pass(2_000);
+    world.stop_entry(first);
+    world.advance(2_000);
     assert_eq!(world.linked.len(), LINKS_PER_AGENT);
 }
 
-// An entry was away for a minute. All agents had found others in its place, and when it was
-// back, none had a use for it: it stood there without an agent and refused its callers.
+// An entry was away for a minute and all agents linked to others instead. When it was back no agent
+// needed it, so it had no agents and refused its callers.
 #[test]
-fn an_entry_that_was_away_for_long_gets_its_agents_back() {
+fn an_entry_that_returns_after_a_long_absence_gets_its_agents_back() {
     let mut world = World::new("agent-1", 64);
-    world.pass(1_000);
+    world.advance(1_000);
     let first = *world.linked.keys().next().unwrap();
-    world.end(first);
-    world.pass(60_000);
+    world.stop_entry(first);
+    world.advance(60_000);
     world.down.remove(&first);
-    world.pass(1_000);
+    world.advance(1_000);
     assert!(world.linked.contains_key(&first));
-    world.pass(20_000);
+    world.advance(20_000);
     assert_eq!(
         world.linked.len(),
         LINKS_PER_AGENT,
-        "the one in its place is dropped"
+        "the replacement is dropped"
     );
 }
 
-// The same at an entry that is added.
+// An entry that is added to the system must not stay without agents either.
 #[test]
-fn an_entry_that_is_added_is_linked_by_its_share_of_agents() {
+fn an_added_entry_gets_its_share_of_agents() {
     let mut linked = 0;
     for number in 0..240 {
         let mut world = World::new(&format!("agent-{number}"), 63);
-        world.pass(1_000);
+        world.advance(1_000);
         world.roster.add(address(63), false);
-        world.pass(1_000);
+        world.advance(1_000);
         linked += usize::from(world.linked.contains_key(&address(63)));
     }
     assert!((20..80).contains(&linked), "{linked} agents");
 }
 
-// While a link was dropped its entry had just placed a task there, which was lost for more than
-// a second and came too late.
+// When a link was closed, its entry had just placed a task there. The task was lost for more than a
+// second and came too late.
 #[test]
-fn a_link_is_dropped_only_after_its_entry_was_told_and_has_no_tasks_left() {
+fn a_link_is_closed_only_after_its_entry_was_retired_and_has_no_tasks() {
     let mut world = World::new("agent-1", 64);
-    world.pass(1_000);
+    world.advance(1_000);
     let all: Vec<SocketAddr> = world.linked.keys().copied().collect();
     let first = all[0];
-    world.end(first);
-    world.pass(3_000);
+    world.stop_entry(first);
+    world.advance(3_000);
     let new = world.linked.keys().find(|at| !all.contains(at));
     let new = *new.unwrap();
     world.busy.insert(process(new));
     world.down.remove(&first);
-    world.pass(20_000);
+    world.advance(20_000);
     assert!(world.retired.contains(&process(new)));
     assert!(world.linked.contains_key(&new), "its task runs");
     world.busy.clear();
-    world.pass(1_000);
+    world.advance(1_000);
     assert!(!world.linked.contains_key(&new));
 }
 
-// Entries were restarted one after the other. Agents took others in their place and dropped
-// them again each time, and each change cost more than the links.
+// Entries were restarted one after the other. Each time, agents linked to others and dropped these
+// links again, and each change cost more than keeping the links.
 #[test]
-fn a_link_in_place_of_a_restarted_entry_is_kept_for_a_while() {
+fn a_replacement_link_is_kept_for_a_while_after_a_restart() {
     let mut world = World::new("agent-1", 64);
-    world.pass(1_000);
+    world.advance(1_000);
     let first = *world.linked.keys().next().unwrap();
-    world.end(first);
-    world.pass(2_000);
+    world.stop_entry(first);
+    world.advance(2_000);
     world.down.remove(&first);
-    world.pass(5_000);
+    world.advance(5_000);
     assert_eq!(world.linked.len(), LINKS_PER_AGENT + 1);
     assert!(world.retired.is_empty());
 }
 
 #[test]
-fn a_link_that_is_needed_again_is_not_dropped() {
+fn a_retired_link_that_is_needed_again_is_kept() {
     let mut world = World::new("agent-1", 64);
-    world.pass(1_000);
+    world.advance(1_000);
     let all: Vec<SocketAddr> = world.linked.keys().copied().collect();
-    world.end(all[0]);
-    world.pass(2_000);
+    world.stop_entry(all[0]);
+    world.advance(2_000);
     world.down.remove(&all[0]);
-    world.pass(10_300);
+    world.advance(10_300);
     assert_eq!(world.retired.len(), 1);
-    world.end(all[1]);
-    world.pass(1_300);
+    world.stop_entry(all[1]);
+    world.advance(1_300);
     assert!(world.retired.is_empty());
     assert_eq!(world.linked.len(), LINKS_PER_AGENT);
 }
 
 #[test]
-fn an_agent_that_reaches_no_entry_does_not_dial_them_all() {
+fn an_agent_that_reaches_no_entry_limits_its_dials() {
     let mut world = World::new("agent-1", 200);
     world.down = (0..200).map(address).collect();
-    world.pass(60_000);
+    world.advance(60_000);
     assert!(world.dialled.len() <= 50, "{}", world.dialled.len());
     world.down.clear();
-    world.pass(1_000);
+    world.advance(1_000);
     assert!(world.linked.len() >= LINKS_PER_AGENT);
 }
 
 #[test]
-fn an_address_whose_entry_is_long_gone_is_forgotten_unless_it_is_linked() {
+fn an_address_is_removed_unless_it_is_linked() {
     let mut world = World::new("agent-1", 2);
     world.down.insert(address(0));
-    world.pass(1_000);
+    world.advance(1_000);
     assert_eq!(
         world.roster.remove(address(0)),
         Some(LinkAction::Drop(address(0)))
     );
     assert_eq!(world.roster.remove(address(1)), None);
-    assert!(world.roster.add(address(0), false), "it is news again");
+    assert!(
+        world.roster.add(address(0), false),
+        "a removed address is new again"
+    );
     assert!(!world.roster.add(address(1), false));
 }
 
-// A dial was given up just as its link opened. The agent took the link for its own; when it
-// ended, it waited for a dial that nobody made, and the entry was never linked again.
+// A dial was given up just as its link opened. The agent counted the link as its own. When the link
+// closed, the agent waited for a redial that never came, and the entry was never linked again.
 #[test]
-fn a_link_that_opens_after_its_dial_was_given_up_counts_for_nothing() {
+fn a_link_that_opens_after_its_dial_was_given_up_is_ignored() {
     let mut roster = Roster::new("agent-1");
     let at = address(1);
     roster.add(at, false);
@@ -267,8 +270,9 @@
     assert_eq!(roster.poll(ms(20), |_| false), [LinkAction::Dial(at)]);
 }
 
-/// The agents of five data centres, and their links to entries of which each data centre has so
-/// many. Gives how many links each entry has, and how many links stay in their data centre.
+/// Links agents in five data centres to entries, of which each data centre has this many. Returns
+/// the number of links of each entry, the number of links within a data centre and the number of
+/// all links.
 fn link_all(agents: usize, entries: [usize; 5], lost: Option<usize>) -> (Vec<usize>, usize, usize) {
     let places: Vec<usize> = (0..5).flat_map(|at| vec![at; entries[at]]).collect();
     let (mut links, mut near, mut all) = (vec![0; places.len()], 0, 0);
@@ -281,7 +285,7 @@
                 world.down.insert(address(entry));
             }
         }
-        world.pass(4_000);
+        world.advance(4_000);
         for (entry, at) in places.iter().enumerate() {
             if world.linked.contains_key(&address(entry)) {
                 links[entry] += 1;
@@ -293,9 +297,9 @@
     (links, near, all)
 }
 
-// In a system of five data centres four fifths of all orders and ends went from one to another.
+// In a system of five data centres, four fifths of all orders and results crossed data centres.
 #[test]
-fn half_of_an_agents_links_stay_in_its_data_centre() {
+fn half_of_the_links_of_an_agent_stay_in_its_data_centre() {
     let (links, near, all) = link_all(200, [10, 8, 6, 7, 9], None);
     assert_eq!(all, 200 * LINKS_PER_AGENT);
     assert!(near * 2 >= all, "{near} of {all}");
@@ -303,9 +307,9 @@
     assert!(links.iter().all(|count| *count * 3 > mean), "{links:?}");
 }
 
-// A data centre lost all its entries. Its agents had half of their links there.
+// A data centre lost all its entries, which had half of the links of its agents.
 #[test]
-fn agents_of_a_data_centre_without_entries_link_elsewhere() {
+fn agents_in_a_data_centre_without_entries_link_elsewhere() {
     let (links, _, all) = link_all(100, [10, 8, 6, 7, 9], Some(1));
     assert_eq!(all, 100 * LINKS_PER_AGENT);
     assert!(links[10..18].iter().all(|count| *count == 0));
@@ -313,41 +317,41 @@
     assert_eq!(all, 20 * LINKS_PER_AGENT);
 }
 
-// An entry was known by its address alone before the directory told where it is.
+// An entry was known by its address alone until the directory named its data centre.
 #[test]
-fn an_entry_that_turns_out_to_be_near_comes_first() {
+fn an_entry_found_to_be_near_is_preferred() {
     let mut world = World::new("agent-1", 40);
-    world.pass(500);
+    world.advance(500);
     for number in 30..36 {
         world.roster.add(address(number), true);
     }
-    world.pass(12_500);
+    world.advance(12_500);
     assert_eq!(world.linked.len(), LINKS_PER_AGENT);
     let near = (30..36).filter(|number| world.linked.contains_key(&address(*number)));
     assert_eq!(near.count(), 6);
 }
 
-/// The links between so many entries in three data centres, by who dials whom.
+/// The links between entries in three data centres: for each entry, the entries that it dials.
 fn mesh(entries: usize) -> Vec<BTreeSet<usize>> {
     let dials = |owner: usize| {
         let mut roster = Roster::new(format!("entry-{owner}")).with_links(LINKS_PER_ENTRY);
         for other in (0..entries).filter(|other| *other != owner) {
             roster.add(address(other), other % 3 == owner % 3);
         }
-        let steps = roster.poll(ms(0), |_| false);
-        let dialled = steps.iter().map(|step| match step {
+        let actions = roster.poll(ms(0), |_| false);
+        let dialled = actions.iter().map(|action| match action {
             LinkAction::Dial(at) => (0..entries).find(|other| address(*other) == *at).unwrap(),
-            step => panic!("{step:?}"),
+            action => panic!("{action:?}"),
         });
         dialled.collect()
     };
     (0..entries).map(dials).collect()
 }
 
-/// How many steps over links it takes from one entry to the last of all.
-fn steps_to_all(mesh: &[BTreeSet<usize>]) -> usize {
+/// The number of hops over links from one entry to the farthest one.
+fn hops_to_all(mesh: &[BTreeSet<usize>]) -> usize {
     let mut reached = BTreeSet::from([0]);
-    let mut steps = 0;
+    let mut hops = 0;
     while reached.len() < mesh.len() {
         let before = reached.clone();
         for (owner, dials) in mesh.iter().enumerate() {
@@ -357,14 +361,14 @@
                 }
             }
         }
-        assert!(reached.len() > before.len(), "some are reached by nobody");
-        steps += 1;
+        assert!(reached.len() > before.len(), "some entries are unreachable");
+        hops += 1;
     }
-    steps
+    hops
 }
 
-// Each entry kept a link to each of the three seeds, which had a link with every other entry: in
-// a fleet of 183 their heartbeats took four fifths of the processor share of a small one.
+// Each entry kept a link to each of the three seeds, which thus had a link to every other entry. In
+// a fleet of 183, heartbeats took four fifths of the processor share of a small one.
 #[test]
 fn the_links_of_an_entry_do_not_grow_with_the_number_of_entries() {
     for entries in [55, 183, 600] {
@@ -374,7 +378,7 @@
             .map(|entry| LINKS_PER_ENTRY + dialled_by(entry))
             .max();
         assert!(most <= Some(20), "{most:?} links among {entries}");
-        let steps = steps_to_all(&mesh);
-        assert!(steps <= 6, "{steps} steps among {entries}");
+        let hops = hops_to_all(&mesh);
+        assert!(hops <= 6, "{hops} hops among {entries} entries");
     }
 }
