--- a/crates/cassiarock-transient/src/directory.rs
+++ b/crates/cassiarock-transient/src/directory.rs
@@ -1,7 +1,7 @@
 //! The directory of entries: the addresses at which entries accept links, as far as a process knows
 //! them.
 //!
-//! It limits the load of membership changes. When each agent followed the topic on which entries
+//! This limits the load of membership changes. When each agent followed the topic on which entries
 //! announce themselves, every agent read every announcement, and calls to the store grew with the
 //! number of entries times the number of agents. Now entries follow the topic and forward changes
 //! over their existing links. Each change is sent over a link once, so that a process receives it
--- a/crates/cassiarock-transient/src/host/entries.rs
+++ b/crates/cassiarock-transient/src/host/entries.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Notifies one entry other than `owner` of the capacity that a result has freed: the one that
+    /// Notifies one entry other than `excluded` of the capacity that a result has freed: the one that
     /// was last sent the load longest ago.
     ///
     /// This matters in a nearly full system. The entry whose task ended may have nothing to place,
@@ -129,11 +129,11 @@
     /// later, while their jobs wait.
     pub(super) fn notify_another_entry(
         &mut self,
-        state: &Process,
+        excluded: &Process,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let others = self.entries.iter().filter(|(entry, _)| *entry != state);
+        let others = self.entries.iter().filter(|(entry, _)| *entry != excluded);
         let others = others.filter(|(_, other)| {
             other.is_linked && now >= other.last_load_sent + RECENTLY_NOTIFIED
         });
--- a/crates/cassiarock-transient/src/host/incarnations.rs
+++ b/crates/cassiarock-transient/src/host/incarnations.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The amount in milliseconds by which a fence is raised that the upstream rejected as too low: one
-/// hour, as fences are times. It doubles with each further rejection.
+/// hour, as fences are start times. It doubles with each further rejection.
 const FENCE_STEP: u64 = 3_600_000;
 
 /// How a report relates to the known incarnation.
--- a/crates/cassiarock-transient/src/roster.rs
+++ b/crates/cassiarock-transient/src/roster.rs
@@ -1,6 +1,6 @@
 //! Chooses the entries that an agent or another entry keeps links to.
 //!
-//! It limits the load of the links themselves: each link carries a heartbeat in each direction
+//! This limits the load of the links themselves: each link carries a heartbeat in each direction
 //! every 100 ms unless other messages are sent. When each agent was linked to each of 64 entries,
 //! heartbeats took three fifths of an entry's processor share and a third of an agent's, and both
 //! grew with the number of VMs. So each agent links to a few entries only, in an order of its own,
@@ -110,8 +110,8 @@
     /// let mut roster = Roster::new("agent-1");
     /// let address = "10.0.0.1:7000".parse()?;
     /// assert!(roster.add(address, true));
-    /// let steps = roster.poll(Duration::ZERO, |_| false);
-    /// assert_eq!(steps, [LinkAction::Dial(address)]);
+    /// let actions = roster.poll(Duration::ZERO, |_| false);
+    /// assert_eq!(actions, [LinkAction::Dial(address)]);
     /// # Ok::<_, std::net::AddrParseError>(())
     /// ```
     #[must_use]
