--- a/crates/cassiarock-transient/src/host/entries.rs
+++ b/crates/cassiarock-transient/src/host/entries.rs
@@ -114,7 +114,8 @@
         {
             return;
         }
-        let due = linked.filter(|(_, state)| silent(state) + HEARTBEAT_COALESCING >= HEARTBEAT_INTERVAL);
+        let due =
+            linked.filter(|(_, state)| silent(state) + HEARTBEAT_COALESCING >= HEARTBEAT_INTERVAL);
         let due: Vec<Process> = due.map(|(entry, _)| entry.clone()).collect();
         for entry in due {
             self.send_heartbeat(&entry, now, actions);
--- a/crates/cassiarock-transient/src/host/mod.rs
+++ b/crates/cassiarock-transient/src/host/mod.rs
@@ -139,7 +139,9 @@
     #[must_use]
     pub fn next_poll(&self, now: Duration) -> Duration {
         let linked = self.entries.values().filter(|state| state.is_linked);
-        let next = linked.map(|state| state.last_load_sent + HEARTBEAT_INTERVAL).min();
+        let next = linked
+            .map(|state| state.last_load_sent + HEARTBEAT_INTERVAL)
+            .min();
         let next = next.unwrap_or(now + HEARTBEAT_INTERVAL);
         self.offered_until().map_or(next, |until| next.min(until))
     }
--- a/crates/cassiarock-transient/tests/host/world.rs
+++ b/crates/cassiarock-transient/tests/host/harness.rs
@@ -15,7 +15,7 @@
 }
 
 /// An agent and the actions it has taken so far.
-pub struct World {
+pub struct Harness {
     pub host: Host,
     pub now: Duration,
     pub starts: Vec<(Task, u64)>,
@@ -30,10 +30,10 @@
     pub clock_offset_ms: u64,
 }
 
-impl World {
+impl Harness {
     /// An agent whose upstream has capacity for ten tasks of one core, linked to entry 1.
     pub fn new() -> Self {
-        let mut world = Self {
+        let mut harness = Self {
             host: Host::new(),
             now: ms(1_000),
             starts: Vec::new(),
@@ -44,10 +44,10 @@
             suspect: None,
             clock_offset_ms: 500_000,
         };
-        world.report("u-1", 1);
-        world.observe(&[], &[]);
-        world.link(1);
-        world
+        harness.report("u-1", 1);
+        harness.observe(&[], &[]);
+        harness.link(1);
+        harness
     }
 
     pub fn clock(&self) -> u64 {
--- a/crates/cassiarock-transient/tests/host/main.rs
+++ b/crates/cassiarock-transient/tests/host/main.rs
@@ -2,10 +2,10 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
+mod harness;
 mod lifecycle;
 mod orders;
 mod polls;
 mod restarts;
 mod room;
 mod shrink;
-mod world;
--- a/crates/cassiarock-transient/tests/host/polls.rs
+++ b/crates/cassiarock-transient/tests/host/polls.rs
@@ -1,6 +1,6 @@
 //! How long polls of the upstream wait while nothing happens, and how often the agent wakes up.
 
-use crate::world::{World, ms};
+use crate::harness::{Harness, ms};
 use cassiarock_transient::Message;
 use cassiarock_transient::host::{Action, poll_backoff};
 use cassiarock_transient::message::Outcome;
@@ -10,22 +10,22 @@
 // agent's processor time.
 #[test]
 fn an_idle_upstream_is_polled_less_often() {
-    let mut world = World::new();
-    let idle = world.host.poll_wait();
-    world.order(1, "j", 1);
-    let busy = world.host.poll_wait();
+    let mut harness = Harness::new();
+    let idle = harness.host.poll_wait();
+    harness.order(1, "j", 1);
+    let busy = harness.host.poll_wait();
     assert!(idle >= busy * 3, "{idle:?} and {busy:?}");
-    world.observe(&[], &[(1, "j", 1, Outcome::Done)]);
-    assert_eq!(world.host.poll_wait(), idle);
+    harness.observe(&[], &[(1, "j", 1, Outcome::Done)]);
+    assert_eq!(harness.host.poll_wait(), idle);
 }
 
 // A task starts just after a poll of an idle upstream was sent, and one more poll is lost. Its
 // lease has to be renewed before it expires.
 #[test]
 fn a_task_that_starts_during_a_long_poll_keeps_its_lease() {
-    let world = World::new();
-    let idle = world.host.poll_wait();
-    let lost = world.host.poll_wait() + ms(250);
+    let harness = Harness::new();
+    let idle = harness.host.poll_wait();
+    let lost = harness.host.poll_wait() + ms(250);
     assert!(idle + lost < LEASE, "{idle:?} and {lost:?}");
     assert!(idle < LINK_TIMEOUT);
 }
@@ -33,29 +33,29 @@
 // A restarted agent does not know what still runs on the upstream.
 #[test]
 fn an_upstream_that_is_not_reconciled_yet_counts_as_busy() {
-    let mut world = World::new();
-    let idle = world.host.poll_wait();
-    world.report("u-2", 1);
-    assert!(world.host.poll_wait() < idle);
+    let mut harness = Harness::new();
+    let idle = harness.host.poll_wait();
+    harness.report("u-2", 1);
+    assert!(harness.host.poll_wait() < idle);
 }
 
 // Each of twelve quiet links had its own heartbeat times, so that an idle agent woke up 120 times a
 // second to send them.
 #[test]
 fn heartbeats_of_quiet_links_are_sent_together() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     for number in 2..=12 {
-        world.now += ms(8);
-        world.link(number);
-        world.poll();
+        harness.now += ms(8);
+        harness.link(number);
+        harness.poll();
     }
-    let end = world.now + ms(2_000);
+    let end = harness.now + ms(2_000);
     let (mut wakes, mut beats) = (0, 0);
-    while world.now < end {
-        let next = world.host.next_poll(world.now).max(world.now + ms(1));
-        assert!(next <= world.now + HEARTBEAT_INTERVAL, "none is late");
-        world.now = next;
-        let actions = world.host.poll(world.now);
+    while harness.now < end {
+        let next = harness.host.next_poll(harness.now).max(harness.now + ms(1));
+        assert!(next <= harness.now + HEARTBEAT_INTERVAL, "none is late");
+        harness.now = next;
+        let actions = harness.host.poll(harness.now);
         let sent = actions
             .iter()
             .filter(|action| matches!(action, Action::Send(_, Message::AgentHeartbeat { .. })));
--- a/crates/cassiarock-transient/tests/host/room.rs
+++ b/crates/cassiarock-transient/tests/host/room.rs
@@ -1,6 +1,6 @@
 //! Notification of entries about freed capacity, and offers of it.
 
-use crate::world::{World, entry, ms};
+use crate::harness::{Harness, entry, ms};
 use cassiarock_id::Process;
 use cassiarock_transient::host::Action;
 use cassiarock_transient::message::{CapacityRequest, Outcome};
@@ -17,12 +17,12 @@
 }
 
 /// An agent linked to entries 1 to 3, with a task of entry 1.
-fn with_three_entries() -> World {
-    let mut world = World::new();
-    world.link(2);
-    world.link(3);
-    world.order(1, "j", 1);
-    world
+fn with_three_entries() -> Harness {
+    let mut harness = Harness::new();
+    harness.link(2);
+    harness.link(3);
+    harness.order(1, "j", 1);
+    harness
 }
 
 // When a task ended, only its own entry was notified of the free capacity at once, and it had
@@ -30,9 +30,9 @@
 // longer than the most urgent ones can.
 #[test]
 fn one_more_entry_is_notified_of_freed_capacity_at_once() {
-    let mut world = with_three_entries();
-    world.now += ms(50);
-    let actions = world.end_in_poll(1, "j", 1, Outcome::Done);
+    let mut harness = with_three_entries();
+    harness.now += ms(50);
+    let actions = harness.end_in_poll(1, "j", 1, Outcome::Done);
     assert_eq!(heartbeat_targets(&actions).len(), 1, "{actions:?}");
     assert!(
         !heartbeat_targets(&actions).contains(&1),
@@ -42,11 +42,11 @@
 
 #[test]
 fn entries_are_notified_of_freed_capacity_in_turn() {
-    let mut world = with_three_entries();
-    world.order(1, "k", 1);
-    world.now += ms(50);
-    let mut all = heartbeat_targets(&world.end_in_poll(1, "j", 1, Outcome::Done));
-    all.extend(heartbeat_targets(&world.end_in_poll(
+    let mut harness = with_three_entries();
+    harness.order(1, "k", 1);
+    harness.now += ms(50);
+    let mut all = heartbeat_targets(&harness.end_in_poll(1, "j", 1, Outcome::Done));
+    all.extend(heartbeat_targets(&harness.end_in_poll(
         2,
         "k",
         1,
@@ -59,11 +59,11 @@
 // With few entries and many short tasks, the agent would send the same load again and again.
 #[test]
 fn an_entry_notified_just_now_is_not_notified_again() {
-    let mut world = with_three_entries();
-    world.now += ms(100);
-    world.poll();
-    world.now += ms(5);
-    let actions = world.end_in_poll(1, "j", 1, Outcome::Done);
+    let mut harness = with_three_entries();
+    harness.now += ms(100);
+    harness.poll();
+    harness.now += ms(5);
+    let actions = harness.end_in_poll(1, "j", 1, Outcome::Done);
     assert!(heartbeat_targets(&actions).is_empty(), "{actions:?}");
 }
 
@@ -81,15 +81,19 @@
 }
 
 /// An entry sends a capacity request. Returns the entry that the agent then offers capacity to.
-fn send_request(world: &mut World, number: u64, ask: Option<CapacityRequest>) -> Option<Process> {
+fn send_request(
+    harness: &mut Harness,
+    number: u64,
+    ask: Option<CapacityRequest>,
+) -> Option<Process> {
     let message = Message::EntryHeartbeat {
-        echo: u64::try_from(world.now.as_millis()).unwrap(),
+        echo: u64::try_from(harness.now.as_millis()).unwrap(),
         version: 1,
         ask,
     };
-    let actions = world
+    let actions = harness
         .host
-        .handle_message(&entry(number), message, world.now);
+        .handle_message(&entry(number), message, harness.now);
     offered(&actions)
 }
 
@@ -106,60 +110,60 @@
 }
 
 /// An agent without free capacity, with ten tasks of entry 1, linked to entries 1 to 3.
-fn full_agent() -> World {
-    let mut world = World::new();
-    world.link(2);
-    world.link(3);
+fn full_agent() -> Harness {
+    let mut harness = Harness::new();
+    harness.link(2);
+    harness.link(3);
     for number in 0..10 {
-        world.order(1, &format!("j-{number}"), 1);
+        harness.order(1, &format!("j-{number}"), 1);
     }
-    assert_eq!(world.starts.len(), 10);
-    world
+    assert_eq!(harness.starts.len(), 10);
+    harness
 }
 
 // One entry had urgent look-ups to place while another had jobs that could wait. Whichever heard
 // first of free capacity took it, and half of the look-ups came too late.
 #[test]
 fn freed_capacity_is_held_for_the_most_urgent_request() {
-    let mut world = full_agent();
-    send_request(&mut world, 2, Some(request(2)));
-    send_request(&mut world, 3, Some(request(0)));
-    let actions = world.end_in_poll(1, "j-0", 1, Outcome::Done);
+    let mut harness = full_agent();
+    send_request(&mut harness, 2, Some(request(2)));
+    send_request(&mut harness, 3, Some(request(0)));
+    let actions = harness.end_in_poll(1, "j-0", 1, Outcome::Done);
     assert_eq!(offered(&actions), Some(entry(3)));
-    world.order(2, "hasty", 1);
-    assert_eq!(world.starts.len(), 10);
-    world.order(3, "urgent", 1);
-    assert_eq!(world.starts.len(), 11);
+    harness.order(2, "hasty", 1);
+    assert_eq!(harness.starts.len(), 10);
+    harness.order(3, "urgent", 1);
+    assert_eq!(harness.starts.len(), 11);
 }
 
 #[test]
 fn a_declined_offer_goes_to_the_next_entry() {
-    let mut world = full_agent();
-    send_request(&mut world, 2, Some(request(2)));
-    send_request(&mut world, 3, Some(request(0)));
-    world.end_in_poll(1, "j-0", 1, Outcome::Done);
-    assert_eq!(send_request(&mut world, 3, None), Some(entry(2)));
+    let mut harness = full_agent();
+    send_request(&mut harness, 2, Some(request(2)));
+    send_request(&mut harness, 3, Some(request(0)));
+    harness.end_in_poll(1, "j-0", 1, Outcome::Done);
+    assert_eq!(send_request(&mut harness, 3, None), Some(entry(2)));
 }
 
 // The entry that was offered capacity had been killed. No other entry was offered it until the
 // agent had missed the heartbeats of the first.
 #[test]
 fn an_unanswered_offer_goes_to_the_next_entry() {
-    let mut world = full_agent();
-    send_request(&mut world, 2, Some(request(2)));
-    send_request(&mut world, 3, Some(request(0)));
-    world.end_in_poll(1, "j-0", 1, Outcome::Done);
-    world.now += ms(10);
-    let actions = world.host.poll(world.now);
+    let mut harness = full_agent();
+    send_request(&mut harness, 2, Some(request(2)));
+    send_request(&mut harness, 3, Some(request(0)));
+    harness.end_in_poll(1, "j-0", 1, Outcome::Done);
+    harness.now += ms(10);
+    let actions = harness.host.poll(harness.now);
     assert_eq!(offered(&actions), Some(entry(2)));
 }
 
 #[test]
 fn a_request_that_was_not_repeated_expires() {
-    let mut world = full_agent();
-    send_request(&mut world, 3, Some(request(0)));
-    world.now += ms(150);
-    let actions = world.end_in_poll(1, "j-0", 1, Outcome::Done);
+    let mut harness = full_agent();
+    send_request(&mut harness, 3, Some(request(0)));
+    harness.now += ms(150);
+    let actions = harness.end_in_poll(1, "j-0", 1, Outcome::Done);
     assert_eq!(offered(&actions), None);
 }
 
@@ -167,15 +171,15 @@
 // capacity that nobody could use, ten times a second per entry.
 #[test]
 fn an_agent_that_accepts_no_new_work_offers_nothing() {
-    let mut world = full_agent();
-    world.host.set_evacuated(true);
-    world.end_in_poll(1, "j-0", 1, Outcome::Done);
+    let mut harness = full_agent();
+    harness.host.set_evacuated(true);
+    harness.end_in_poll(1, "j-0", 1, Outcome::Done);
     let message = Message::EntryHeartbeat {
-        echo: u64::try_from(world.now.as_millis()).unwrap(),
+        echo: u64::try_from(harness.now.as_millis()).unwrap(),
         version: 1,
         ask: Some(request(0)),
     };
-    let actions = world.host.handle_message(&entry(3), message, world.now);
+    let actions = harness.host.handle_message(&entry(3), message, harness.now);
     assert_eq!(actions, []);
 }
 
@@ -183,10 +187,10 @@
 // the load after the first one, so that the second slot stayed empty until the next heartbeat.
 #[test]
 fn results_sent_together_carry_the_load_after_the_last_one() {
-    let mut world = full_agent();
-    world.observe(
+    let mut harness = full_agent();
+    harness.observe(
         &[],
         &[(1, "j-0", 1, Outcome::Done), (2, "j-1", 1, Outcome::Done)],
     );
-    assert_eq!(world.load.free.cpu, 2_000);
+    assert_eq!(harness.load.free.cpu, 2_000);
 }
--- a/crates/cassiarock-transient/tests/roster.rs
+++ b/crates/cassiarock-transient/tests/roster.rs
@@ -19,7 +19,7 @@
 }
 
 /// An agent among entries that accept links unless they are down.
-struct World {
+struct Harness {
     roster: Roster,
     now: Duration,
     linked: BTreeMap<SocketAddr, u64>,
@@ -31,9 +31,9 @@
     serial: u64,
 }
 
-impl World {
+impl Harness {
     fn new(agent: &str, entries: usize) -> Self {
-        let mut world = Self {
+        let mut harness = Self {
             roster: Roster::new(agent),
             now: Duration::ZERO,
             linked: BTreeMap::new(),
@@ -44,9 +44,9 @@
             serial: 0,
         };
         for number in 0..entries {
-            world.roster.add(address(number), false);
+            harness.roster.add(address(number), false);
         }
-        world
+        harness
     }
 
     fn advance(&mut self, millis: u64) {
@@ -97,19 +97,19 @@
 
 #[test]
 fn an_agent_links_to_all_entries_of_a_small_system() {
-    let mut world = World::new("agent-1", LINKS_PER_AGENT);
-    world.advance(1_000);
-    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
+    let mut harness = Harness::new("agent-1", LINKS_PER_AGENT);
+    harness.advance(1_000);
+    assert_eq!(harness.linked.len(), LINKS_PER_AGENT);
 }
 
 // In a system of 300 VMs each agent was linked to each entry. Heartbeats took all processor time of
 // an entry, and none was left for callers.
 #[test]
 fn an_agent_links_to_a_few_entries_of_a_large_system() {
-    let mut world = World::new("agent-1", 64);
-    world.advance(20_000);
-    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
-    assert!(world.dialled.is_empty());
+    let mut harness = Harness::new("agent-1", 64);
+    harness.advance(20_000);
+    assert_eq!(harness.linked.len(), LINKS_PER_AGENT);
+    assert!(harness.dialled.is_empty());
 }
 
 // With few links per agent an entry could be left without any agent and would refuse every caller.
@@ -117,9 +117,9 @@
 fn the_links_of_all_agents_spread_over_all_entries() {
     let mut agents: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for number in 0..240 {
-        let mut world = World::new(&format!("agent-{number}"), 64);
-        world.advance(1_000);
-        for at in world.linked.keys() {
+        let mut harness = Harness::new(&format!("agent-{number}"), 64);
+        harness.advance(1_000);
+        for at in harness.linked.keys() {
             *agents.entry(*at).or_default() += 1;
         }
     }
@@ -132,29 +132,29 @@
 
 #[test]
 fn an_entry_that_is_gone_is_replaced_by_another() {
-    let mut world = World::new("agent-1", 64);
-    world.advance(1_000);
-    let first = *world.linked.keys().next().unwrap();
-    world.stop_entry(first);
-    world.advance(2_000);
-    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
+    let mut harness = Harness::new("agent-1", 64);
+    harness.advance(1_000);
+    let first = *harness.linked.keys().next().unwrap();
+    harness.stop_entry(first);
+    harness.advance(2_000);
+    assert_eq!(harness.linked.len(), LINKS_PER_AGENT);
 }
 
 // An entry was away for a minute and all agents linked to others instead. When it was back no agent
 // needed it, so it had no agents and refused its callers.
 #[test]
 fn an_entry_that_returns_after_a_long_absence_gets_its_agents_back() {
-    let mut world = World::new("agent-1", 64);
-    world.advance(1_000);
-    let first = *world.linked.keys().next().unwrap();
-    world.stop_entry(first);
-    world.advance(60_000);
-    world.down.remove(&first);
-    world.advance(1_000);
-    assert!(world.linked.contains_key(&first));
-    world.advance(20_000);
+    let mut harness = Harness::new("agent-1", 64);
+    harness.advance(1_000);
+    let first = *harness.linked.keys().next().unwrap();
+    harness.stop_entry(first);
+    harness.advance(60_000);
+    harness.down.remove(&first);
+    harness.advance(1_000);
+    assert!(harness.linked.contains_key(&first));
+    harness.advance(20_000);
     assert_eq!(
-        world.linked.len(),
+        harness.linked.len(),
         LINKS_PER_AGENT,
         "the replacement is dropped"
     );
@@ -165,11 +165,11 @@
 fn an_added_entry_gets_its_share_of_agents() {
     let mut linked = 0;
     for number in 0..240 {
-        let mut world = World::new(&format!("agent-{number}"), 63);
-        world.advance(1_000);
-        world.roster.add(address(63), false);
-        world.advance(1_000);
-        linked += usize::from(world.linked.contains_key(&address(63)));
+        let mut harness = Harness::new(&format!("agent-{number}"), 63);
+        harness.advance(1_000);
+        harness.roster.add(address(63), false);
+        harness.advance(1_000);
+        linked += usize::from(harness.linked.contains_key(&address(63)));
     }
     assert!((20..80).contains(&linked), "{linked} agents");
 }
@@ -178,81 +178,81 @@
 // second and came too late.
 #[test]
 fn a_link_is_closed_only_after_its_entry_was_retired_and_has_no_tasks() {
-    let mut world = World::new("agent-1", 64);
-    world.advance(1_000);
-    let all: Vec<SocketAddr> = world.linked.keys().copied().collect();
+    let mut harness = Harness::new("agent-1", 64);
+    harness.advance(1_000);
+    let all: Vec<SocketAddr> = harness.linked.keys().copied().collect();
     let first = all[0];
-    world.stop_entry(first);
-    world.advance(3_000);
-    let new = world.linked.keys().find(|at| !all.contains(at));
+    harness.stop_entry(first);
+    harness.advance(3_000);
+    let new = harness.linked.keys().find(|at| !all.contains(at));
     let new = *new.unwrap();
-    world.busy.insert(process(new));
-    world.down.remove(&first);
-    world.advance(20_000);
-    assert!(world.retired.contains(&process(new)));
-    assert!(world.linked.contains_key(&new), "its task runs");
-    world.busy.clear();
-    world.advance(1_000);
-    assert!(!world.linked.contains_key(&new));
+    harness.busy.insert(process(new));
+    harness.down.remove(&first);
+    harness.advance(20_000);
+    assert!(harness.retired.contains(&process(new)));
+    assert!(harness.linked.contains_key(&new), "its task runs");
+    harness.busy.clear();
+    harness.advance(1_000);
+    assert!(!harness.linked.contains_key(&new));
 }
 
 // Entries were restarted one after the other. Each time, agents linked to others and dropped these
 // links again, and each change cost more than keeping the links.
 #[test]
 fn a_replacement_link_is_kept_for_a_while_after_a_restart() {
-    let mut world = World::new("agent-1", 64);
-    world.advance(1_000);
-    let first = *world.linked.keys().next().unwrap();
-    world.stop_entry(first);
-    world.advance(2_000);
-    world.down.remove(&first);
-    world.advance(5_000);
-    assert_eq!(world.linked.len(), LINKS_PER_AGENT + 1);
-    assert!(world.retired.is_empty());
+    let mut harness = Harness::new("agent-1", 64);
+    harness.advance(1_000);
+    let first = *harness.linked.keys().next().unwrap();
+    harness.stop_entry(first);
+    harness.advance(2_000);
+    harness.down.remove(&first);
+    harness.advance(5_000);
+    assert_eq!(harness.linked.len(), LINKS_PER_AGENT + 1);
+    assert!(harness.retired.is_empty());
 }
 
 #[test]
 fn a_retired_link_that_is_needed_again_is_kept() {
-    let mut world = World::new("agent-1", 64);
-    world.advance(1_000);
-    let all: Vec<SocketAddr> = world.linked.keys().copied().collect();
-    world.stop_entry(all[0]);
-    world.advance(2_000);
-    world.down.remove(&all[0]);
-    world.advance(10_300);
-    assert_eq!(world.retired.len(), 1);
-    world.stop_entry(all[1]);
-    world.advance(1_300);
-    assert!(world.retired.is_empty());
-    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
+    let mut harness = Harness::new("agent-1", 64);
+    harness.advance(1_000);
+    let all: Vec<SocketAddr> = harness.linked.keys().copied().collect();
+    harness.stop_entry(all[0]);
+    harness.advance(2_000);
+    harness.down.remove(&all[0]);
+    harness.advance(10_300);
+    assert_eq!(harness.retired.len(), 1);
+    harness.stop_entry(all[1]);
+    harness.advance(1_300);
+    assert!(harness.retired.is_empty());
+    assert_eq!(harness.linked.len(), LINKS_PER_AGENT);
 }
 
 #[test]
 fn an_agent_that_reaches_no_entry_limits_its_dials() {
-    let mut world = World::new("agent-1", 200);
-    world.down = (0..200).map(address).collect();
-    world.advance(60_000);
-    assert!(world.dialled.len() <= 50, "{}", world.dialled.len());
-    world.down.clear();
-    world.advance(1_000);
-    assert!(world.linked.len() >= LINKS_PER_AGENT);
+    let mut harness = Harness::new("agent-1", 200);
+    harness.down = (0..200).map(address).collect();
+    harness.advance(60_000);
+    assert!(harness.dialled.len() <= 50, "{}", harness.dialled.len());
+    harness.down.clear();
+    harness.advance(1_000);
+    assert!(harness.linked.len() >= LINKS_PER_AGENT);
 }
 
 #[test]
 fn an_address_is_removed_unless_it_is_linked() {
-    let mut world = World::new("agent-1", 2);
-    world.down.insert(address(0));
-    world.advance(1_000);
+    let mut harness = Harness::new("agent-1", 2);
+    harness.down.insert(address(0));
+    harness.advance(1_000);
     assert_eq!(
-        world.roster.remove(address(0)),
+        harness.roster.remove(address(0)),
         Some(LinkAction::Drop(address(0)))
     );
-    assert_eq!(world.roster.remove(address(1)), None);
+    assert_eq!(harness.roster.remove(address(1)), None);
     assert!(
-        world.roster.add(address(0), false),
+        harness.roster.add(address(0), false),
         "a removed address is new again"
     );
-    assert!(!world.roster.add(address(1), false));
+    assert!(!harness.roster.add(address(1), false));
 }
 
 // A dial was given up just as its link opened. The agent counted the link as its own. When the link
@@ -278,16 +278,16 @@
     let (mut links, mut near, mut all) = (vec![0; places.len()], 0, 0);
     for number in 0..agents {
         let home = number % 5;
-        let mut world = World::new(&format!("agent-{number}"), 0);
+        let mut harness = Harness::new(&format!("agent-{number}"), 0);
         for (entry, at) in places.iter().enumerate() {
-            world.roster.add(address(entry), *at == home);
+            harness.roster.add(address(entry), *at == home);
             if Some(*at) == lost {
-                world.down.insert(address(entry));
+                harness.down.insert(address(entry));
             }
         }
-        world.advance(4_000);
+        harness.advance(4_000);
         for (entry, at) in places.iter().enumerate() {
-            if world.linked.contains_key(&address(entry)) {
+            if harness.linked.contains_key(&address(entry)) {
                 links[entry] += 1;
                 all += 1;
                 near += usize::from(*at == home);
@@ -320,14 +320,14 @@
 // An entry was known by its address alone until the directory named its data centre.
 #[test]
 fn an_entry_found_to_be_near_is_preferred() {
-    let mut world = World::new("agent-1", 40);
-    world.advance(500);
+    let mut harness = Harness::new("agent-1", 40);
+    harness.advance(500);
     for number in 30..36 {
-        world.roster.add(address(number), true);
+        harness.roster.add(address(number), true);
     }
-    world.advance(12_500);
-    assert_eq!(world.linked.len(), LINKS_PER_AGENT);
-    let near = (30..36).filter(|number| world.linked.contains_key(&address(*number)));
+    harness.advance(12_500);
+    assert_eq!(harness.linked.len(), LINKS_PER_AGENT);
+    let near = (30..36).filter(|number| harness.linked.contains_key(&address(*number)));
     assert_eq!(near.count(), 6);
 }
 
