--- a/crates/cassiarock-transient/src/host/incarnations.rs
+++ b/crates/cassiarock-transient/src/host/incarnations.rs
@@ -1,4 +1,4 @@
-//! Lives of the upstream: of which one a report or an answer tells.
+//! Tracks incarnations of the upstream: matches reports and responses to them.
 
 use super::health::Health;
 use super::lease::Lease;
@@ -9,81 +9,84 @@
 use crate::{Decision, Incarnation};
 use std::time::Duration;
 
-/// What a fence rises by that the upstream has turned away as too low, in milliseconds: an hour, as
-/// fences are times, and twice as much each further time.
+/// The amount in milliseconds by which a fence is raised that the upstream rejected as too low: one
+/// hour, as fences are start times. It doubles with each further rejection.
 const FENCE_STEP: u64 = 3_600_000;
 
-/// What a report says of the upstream's life.
-enum Verdict {
-    /// The known one goes on.
+/// How a report relates to the known incarnation.
+enum ReportKind {
+    /// It is about the known incarnation.
     Same,
-    /// Nothing that counts any more.
+    /// It is obsolete, for this reason.
     Outdated(&'static str),
-    /// A life that started before the known one, though it has not been heard of: held up on its
-    /// way, or the upstream's clock was set back. An answer of the upstream tells.
-    Doubtful,
-    /// Another one has begun.
+    /// It is about an unknown incarnation with an earlier start: either the report was delayed or
+    /// the upstream's clock was set back. A poll of the upstream decides.
+    Unverified,
+    /// A new incarnation has started.
     New,
 }
 
 impl Host {
-    /// The upstream reports. A report of a life that has been followed by another is old news
-    /// that a broken network had held up.
+    /// Handles a report of the upstream. A report of an incarnation that another one has followed
+    /// was delayed by the network and is ignored.
     pub fn handle_report(&mut self, worker: Worker, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         match self.classify(&worker) {
-            Verdict::Same => self.update(worker, now, &mut actions),
-            Verdict::Outdated(reason) => actions.push(ignored(&worker.incarnation(), reason)),
-            Verdict::Doubtful => {
-                actions.push(ignored(&worker.incarnation(), "an earlier start"));
+            ReportKind::Same => self.update(worker, now, &mut actions),
+            ReportKind::Outdated(reason) => {
+                actions.push(ignored_report(&worker.incarnation(), reason))
+            }
+            ReportKind::Unverified => {
+                actions.push(ignored_report(&worker.incarnation(), "an earlier start"));
                 actions.push(Action::Poll);
             }
-            Verdict::New => self.begin(worker, "a new upstream", now, &mut actions),
+            ReportKind::New => self.begin_incarnation(worker, "a new upstream", now, &mut actions),
         }
         actions
     }
 
-    fn classify(&self, worker: &Worker) -> Verdict {
+    fn classify(&self, worker: &Worker) -> ReportKind {
         let Some(known) = &self.worker else {
-            return Verdict::New;
+            return ReportKind::New;
         };
         let (incarnation, present) = (worker.incarnation(), known.incarnation());
         if !present.differs_from(&incarnation) {
             let is_older = worker.sequence < known.sequence;
             return if is_older {
-                Verdict::Outdated("an earlier report")
+                ReportKind::Outdated("an earlier report")
             } else {
-                Verdict::Same
+                ReportKind::Same
             };
         }
-        // Nothing else is there: if the report was held up, no order will be answered.
+        // No other incarnation is known to be alive. If this report was delayed, no order will be
+        // answered.
         if known.is_gone {
-            return Verdict::New;
+            return ReportKind::New;
         }
         if known.previous_incarnations.contains(&incarnation) {
-            return Verdict::Outdated("an earlier life");
+            return ReportKind::Outdated("an earlier life");
         }
         if incarnation.started_before(&present) {
-            return Verdict::Doubtful;
+            return ReportKind::Unverified;
         }
-        Verdict::New
+        ReportKind::New
     }
 
     fn update(&mut self, worker: Worker, now: Duration, actions: &mut Vec<Action>) {
         let before = self.upstream();
         self.worker = match self.worker.take() {
-            Some(known) => Some(worker.following(known)),
+            Some(known) => Some(worker.with_history_of(known)),
             None => Some(worker),
         };
         if self.upstream() != before {
-            self.tell_upstream(actions, "the upstream changed");
-            self.beat_all(now, actions);
+            self.announce_upstream(actions, "the upstream changed");
+            self.send_heartbeat_to_all(now, actions);
         }
     }
 
-    /// A life begins. What ran in the one before has ended, but for orders on their way: under
-    /// the same id the new life takes them too.
-    fn begin(
+    /// Starts a new incarnation. What ran in the previous one has ended, except orders in flight: a
+    /// new incarnation with the same id accepts them too.
+    fn begin_incarnation(
         &mut self,
         worker: Worker,
         reason: &'static str,
@@ -105,29 +108,29 @@
         let mut previous_incarnations =
             known.as_ref().map(Worker::incarnations).unwrap_or_default();
         previous_incarnations.retain(|incarnation| *incarnation != worker.incarnation());
-        self.worker = Some(worker.after(previous_incarnations));
-        self.since = now;
-        self.seen = 0;
-        self.is_known = false;
+        self.worker = Some(worker.with_previous_incarnations(previous_incarnations));
+        self.incarnation_known_since = now;
+        self.last_seen_end = 0;
+        self.is_reconciled = false;
         self.health = Health::default();
         self.offer = None;
         for (task, run) in in_flight {
             self.keep_in_flight(task, run, now, actions);
         }
-        self.tell_upstream(actions, reason);
+        self.announce_upstream(actions, reason);
     }
 
-    /// An order that may yet reach a new life of the upstream is stopped there. It is over once
-    /// an answer to a poll that carried the new fence does not list it.
+    /// Stops an order that may still reach the new incarnation. It is finished once a response to a
+    /// poll that carried the new fence does not list it.
     fn keep_in_flight(&mut self, task: Task, run: Run, now: Duration, actions: &mut Vec<Action>) {
         self.runs.add(task.clone(), run.into_in_flight(now));
         actions.push(Action::Stop(task));
     }
 
-    /// Whether an answer to a poll is of the present life. An answer that names another one shows
-    /// that the upstream has started again under its id, unless the poll went out before the
-    /// present life was known.
-    pub(super) fn accept(
+    /// Whether the response to a poll is from the current incarnation. A response that names
+    /// another one shows that the upstream has restarted under its id, unless the poll was sent
+    /// before the current incarnation was known.
+    pub(super) fn accept_snapshot(
         &mut self,
         snapshot: &Snapshot,
         now: Duration,
@@ -140,8 +143,11 @@
             self.learn_start_time(snapshot.incarnation.started_at);
             return true;
         }
-        if known.id != snapshot.incarnation.id || snapshot.asked < self.since {
-            actions.push(ignored(&snapshot.incarnation, "an answer of another life"));
+        if known.id != snapshot.incarnation.id || snapshot.asked < self.incarnation_known_since {
+            actions.push(ignored_report(
+                &snapshot.incarnation,
+                "an answer of another life",
+            ));
             return false;
         }
         let worker = Worker {
@@ -152,7 +158,7 @@
             is_unreported: true,
             ..known.clone()
         };
-        self.begin(worker, "it started again under its id", now, actions);
+        self.begin_incarnation(worker, "it started again under its id", now, actions);
         actions.push(Action::Poll);
         false
     }
@@ -165,31 +171,35 @@
         self.fence = self.fence.max(started_at);
     }
 
-    /// Whether an answer to an order of `life` is of the present life.
-    pub(super) fn is_of(&self, incarnation: &Incarnation) -> bool {
+    /// Whether `incarnation` is the current one.
+    pub(super) fn is_current(&self, incarnation: &Incarnation) -> bool {
         let worker = self.worker.as_ref();
         worker.is_some_and(|worker| !worker.incarnation().differs_from(incarnation))
     }
 
-    /// The upstream says that it has ended. One that tells when it started may have started
-    /// again since: that one has not, unless it was leaving.
+    /// Handles the deregistration of the upstream. One that reports its start time may have
+    /// restarted since then, and this message may be about the previous incarnation; so it counts
+    /// only if the upstream was leaving or reports no start time.
     pub fn deregister(&mut self, id: &str, now: Duration) -> Vec<Action> {
         let known = self.worker.as_ref().filter(|worker| &*worker.id == id);
         match known {
             Some(worker) if worker.started_at.is_some() && !worker.is_leaving => {
-                vec![ignored(&worker.incarnation(), "an end without notice")]
+                vec![ignored_report(
+                    &worker.incarnation(),
+                    "an end without notice",
+                )]
             }
             Some(worker) => {
                 let incarnation = worker.incarnation();
-                self.gone(&incarnation, Outcome::Lost, "the upstream ended", now)
+                self.lose_upstream(&incarnation, Outcome::Lost, "the upstream ended", now)
             }
             None => Vec::new(),
         }
     }
 
-    /// Another life answers at the upstream's address.
+    /// Handles a response of another incarnation at the upstream's address.
     pub fn handle_replacement(&mut self, incarnation: &Incarnation, now: Duration) -> Vec<Action> {
-        self.gone(
+        self.lose_upstream(
             incarnation,
             Outcome::Crashed,
             "another life of the upstream answers",
@@ -197,51 +207,51 @@
         )
     }
 
-    /// The upstream is gone.
-    fn gone(
+    /// Marks this incarnation of the upstream as gone and ends all attempts on it.
+    fn lose_upstream(
         &mut self,
         incarnation: &Incarnation,
-        end: Outcome,
+        outcome: Outcome,
         reason: &'static str,
         now: Duration,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.is_of(incarnation) {
+        if !self.is_current(incarnation) {
             return actions;
         }
-        self.lose_all(end, reason, now, &mut actions);
+        self.lose_all(outcome, reason, now, &mut actions);
         if let Some(worker) = &mut self.worker {
             worker.is_gone = true;
         }
-        self.is_known = false;
-        self.tell_upstream(&mut actions, reason);
+        self.is_reconciled = false;
+        self.announce_upstream(&mut actions, reason);
         actions
     }
 
-    /// What orders to the upstream carry, so that it does nothing that was ordered from a life of
-    /// it before the present one; 0 if it does not tell when it started.
+    /// The fencing token that orders carry, so that the upstream does nothing that was ordered from
+    /// an earlier incarnation of it; 0 if it does not report when it started.
     #[must_use]
     pub const fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// The upstream turned away the fence: it has seen a higher one, from an agent that knew a
-    /// life of it with a later start.
+    /// Raises the fence after the upstream rejected it: the upstream has seen a higher one, from an
+    /// agent that knew an incarnation of it with a later start time.
     pub fn raise_fence(&mut self, incarnation: &Incarnation) -> Vec<Action> {
-        if !self.is_of(incarnation) {
+        if !self.is_current(incarnation) {
             return Vec::new();
         }
         let step = self.fence_step.max(FENCE_STEP);
         self.fence = self.fence.saturating_add(step);
         self.fence_step = step.saturating_mul(2);
-        let told = Decision::new("fence raised", "", "")
+        let decision = Decision::new("fence raised", "", "")
             .with("upstream", incarnation)
             .with("fence", self.fence);
-        vec![Action::Log(told.failed())]
+        vec![Action::Log(decision.failed())]
     }
 }
 
-fn ignored(incarnation: &Incarnation, reason: &'static str) -> Action {
+fn ignored_report(incarnation: &Incarnation, reason: &'static str) -> Action {
     Action::Log(
         Decision::new("report ignored", "", "")
             .with("upstream", incarnation)
--- a/crates/cassiarock-transient/src/host/upstream.rs
+++ b/crates/cassiarock-transient/src/host/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream: its room, and what entries are told of it.
+//! The upstream's capacity, and what entries are told about it.
 
 use super::run::{Run, Task};
 use super::{Action, Host};
@@ -7,34 +7,36 @@
 use cassiarock_id::Process;
 use std::time::Duration;
 
-/// A task is overdue after this many times what was expected of it, ...
-const OVERDUE: f64 = 2.5;
+/// A task is overdue once it has run this many times as long as expected, ...
+const OVERDUE_FACTOR: f64 = 2.5;
 
-/// ... and this much more: estimates are off by 40%, and short tasks by a poll's wait.
-const OVERDUE_LEAST: Duration = Duration::from_millis(120);
+/// ... and at least this much longer: estimates are off by 40%, and short tasks by the wait of a
+/// poll.
+const OVERDUE_MIN_DELAY: Duration = Duration::from_millis(120);
 
-/// So many overdue tasks that are half of all that run tell of the upstream, not of the tasks.
-const STALLED: usize = 2;
+/// The upstream counts as stalled if at least this many tasks, and at least half of all that run,
+/// are overdue.
+const MIN_STALLED_TASKS: usize = 2;
 
-/// What is told of such an upstream, in hundredths of what was expected: well over the bound
-/// at which entries keep tasks away and move those that are there.
-const STALLED_PACE: u16 = 400;
+/// The slowdown that is reported for a stalled upstream, in percent: well over the bound at which
+/// entries avoid an upstream and move its tasks away.
+const STALLED_SLOWDOWN_PERCENT: u16 = 400;
 
 impl Host {
-    /// This agent takes no new work any more.
+    /// Stops accepting new work for good.
     pub fn leave(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.is_leaving = true;
-        self.tell_upstream(&mut actions, "the agent is leaving");
+        self.announce_upstream(&mut actions, "the agent is leaving");
         actions
     }
 
-    /// Operators are emptying the data centre, or have taken that back.
+    /// Sets whether operators are evacuating the data centre.
     ///
-    /// Entries know it by themselves. It guards against one that does not, as it is cut off from
-    /// the store and from the others, or whose orders were on their way: it is told that the
-    /// upstream takes no new work, and what it has ordered is turned away and placed elsewhere.
-    /// What runs may end.
+    /// Entries usually know this themselves. This covers an entry that does not, because it is cut
+    /// off from the store and from the other entries, or whose orders were in flight: it is told
+    /// that the upstream accepts no new work, and its orders are rejected and placed elsewhere.
+    /// Running tasks may finish.
     pub fn set_evacuated(&mut self, is_evacuated: bool) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.is_evacuated == is_evacuated {
@@ -46,66 +48,66 @@
         } else {
             "the data centre may be used again"
         };
-        self.tell_upstream(&mut actions, reason);
+        self.announce_upstream(&mut actions, reason);
         actions
     }
 
-    /// Whether operators are emptying the data centre.
+    /// Whether operators are evacuating the data centre.
     #[must_use]
     pub const fn is_evacuated(&self) -> bool {
         self.is_evacuated
     }
 
-    /// Whether nothing new may start here, whatever the upstream says.
+    /// Whether nothing new may start here, whatever the upstream reports.
     pub(super) const fn is_closed(&self) -> bool {
         self.is_leaving || self.is_evacuated
     }
 
-    /// All attempts have ended with their upstream.
+    /// Ends all attempts on the upstream with the same outcome.
     pub(super) fn lose_all(
         &mut self,
-        end: Outcome,
+        outcome: Outcome,
         reason: &'static str,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
         let tasks: Vec<Task> = self.runs.iter().map(|(task, _)| task.clone()).collect();
         if !tasks.is_empty() {
-            let told = Decision::new("all lost", "", "")
+            let decision = Decision::new("all lost", "", "")
                 .with("reason", reason)
                 .with("tasks", tasks.len())
                 .failed();
-            actions.push(Action::Log(told));
+            actions.push(Action::Log(decision));
         }
         for task in tasks {
-            self.end(&task, end, now, actions);
+            self.finish(&task, outcome, now, actions);
         }
     }
 
-    pub(super) fn tell_upstream(&mut self, actions: &mut Vec<Action>, reason: &'static str) {
+    pub(super) fn announce_upstream(&mut self, actions: &mut Vec<Action>, reason: &'static str) {
         let upstream = self.upstream();
-        let mut told = Decision::new("upstream", "", "").with("reason", reason);
+        let mut decision = Decision::new("upstream", "", "").with("reason", reason);
         if let Some(upstream) = &upstream {
-            told = told
+            decision = decision
                 .with("upstream", upstream.incarnation())
                 .with("service", &upstream.service)
                 .with("cpu", upstream.capacity.cpu)
                 .with("leaving", upstream.is_leaving);
         }
-        actions.push(Action::Log(told));
-        for (entry, owner) in &self.owners {
-            if owner.is_linked {
+        actions.push(Action::Log(decision));
+        for (entry, state) in &self.entries {
+            if state.is_linked {
                 let message = Message::Upstream(self.upstream_for(entry));
                 actions.push(Action::Send(entry.clone(), message));
             }
         }
     }
 
-    /// The upstream as one entry is to see it.
+    /// The upstream as it is described to one entry.
     pub(super) fn upstream_for(&self, entry: &Process) -> Option<Upstream> {
         let mut upstream = self.upstream()?;
-        let owner = self.owners.get(entry);
-        upstream.is_leaving |= owner.is_some_and(|owner| owner.is_retired);
+        let state = self.entries.get(entry);
+        upstream.is_leaving |= state.is_some_and(|state| state.is_retired);
         Some(upstream)
     }
 
@@ -116,19 +118,23 @@
         Some(upstream)
     }
 
-    /// The pace that tasks show which have not ended: an upstream on which everything stands
-    /// still ends none, and would look as good as before.
-    fn stalled(&self, now: Duration) -> u16 {
+    /// The slowdown shown by tasks that have not ended: an upstream on which all tasks hang reports
+    /// no results and would otherwise look as good as before.
+    fn stalled_slowdown(&self, now: Duration) -> u16 {
         let is_overdue = |run: &Run| {
             let bound = run
                 .expected
-                .mul_f64(OVERDUE)
-                .max(run.expected + OVERDUE_LEAST);
+                .mul_f64(OVERDUE_FACTOR)
+                .max(run.expected + OVERDUE_MIN_DELAY);
             now >= run.since + bound
         };
         let overdue = self.runs.iter().filter(|(_, run)| is_overdue(run)).count();
-        let is_stalled = overdue >= STALLED && overdue * 2 >= self.runs.len();
-        if is_stalled { STALLED_PACE } else { 0 }
+        let is_stalled = overdue >= MIN_STALLED_TASKS && overdue * 2 >= self.runs.len();
+        if is_stalled {
+            STALLED_SLOWDOWN_PERCENT
+        } else {
+            0
+        }
     }
 
     pub(super) fn free(&self) -> Resources {
@@ -141,7 +147,7 @@
     /// Whether new tasks may start on the upstream.
     pub(super) fn is_open(&self, now: Duration) -> bool {
         let worker = self.worker.as_ref();
-        self.is_known
+        self.is_reconciled
             && !self.lease.is_silent(now)
             && !self.is_closed()
             && worker.is_some_and(|worker| worker.is_present() && !worker.is_leaving)
@@ -149,16 +155,23 @@
 
     pub(super) fn load(&self, entry: &Process, now: Duration) -> Load {
         let is_open = self.is_open(now);
-        let entries = self.owners.values().filter(|owner| owner.is_linked).count();
+        let entries = self
+            .entries
+            .values()
+            .filter(|state| state.is_linked)
+            .count();
         Load {
-            last_serial: self.owners.get(entry).map_or(0, |owner| owner.serial),
+            last_serial: self.entries.get(entry).map_or(0, |state| state.serial),
             free: if is_open {
                 self.free_for(entry, now)
             } else {
                 Resources::default()
             },
-            failure_percent: self.health.failing(now),
-            slowdown_percent: self.health.pace().max(self.stalled(now)),
+            failure_percent: self.health.failure_percent(now),
+            slowdown_percent: self
+                .health
+                .slowdown_percent()
+                .max(self.stalled_slowdown(now)),
             entries: u16::try_from(entries).unwrap_or(u16::MAX),
             is_offered: is_open && self.is_offered(entry, now),
         }
--- a/crates/cassiarock-transient/tests/host/main.rs
+++ b/crates/cassiarock-transient/tests/host/main.rs
@@ -1,11 +1,11 @@
-//! What an agent does with its upstream.
+//! Tests of the agent's host: tasks on its upstream, leases, incarnations and offers.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
+mod harness;
 mod lifecycle;
 mod orders;
 mod polls;
 mod restarts;
 mod room;
 mod shrink;
-mod world;
