--- a/crates/cassiarock-agent/src/run.rs
+++ b/crates/cassiarock-agent/src/run.rs
@@ -15,7 +15,7 @@
     until,
 };
 use cassiarock_rule::Member;
-use cassiarock_rule::request::Need;
+use cassiarock_rule::request::Resources;
 use cassiarock_settings as settings;
 use cassiarock_upstream::Worker;
 use cassiarock_wire::Role;
@@ -219,9 +219,9 @@
         .with_resources(resources(&settings.capacity))
 }
 
-fn resources(capacity: &settings::Capacity) -> Need {
+fn resources(capacity: &settings::Capacity) -> Resources {
     let memory = capacity.memory / MEGABYTE;
-    Need {
+    Resources {
         cores: capacity.cores,
         memory: u32::try_from(memory).unwrap_or(u32::MAX),
         accelerators: capacity.accelerators,
--- a/crates/cassiarock-entry/src/explain.rs
+++ b/crates/cassiarock-entry/src/explain.rs
@@ -6,7 +6,7 @@
 use axum::routing::post;
 use axum::{Json, Router};
 use cassiarock_id::Name;
-use cassiarock_rule::request::Need;
+use cassiarock_rule::request::Resources;
 use cassiarock_rule::{Explanation, Request};
 use serde::Deserialize;
 use tokio::sync::{mpsc, oneshot};
@@ -53,7 +53,7 @@
 
 impl Question {
     fn request(self) -> Request {
-        let need = Need {
+        let need = Resources {
             cores: self.cores,
             memory: self.memory_mb,
             accelerators: self.accelerators,
--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -104,7 +104,7 @@
     }
 }
 
-fn need(has: &rule::request::Need) -> Resources {
+fn need(has: &rule::request::Resources) -> Resources {
     let cores = u64::from(has.cores);
     let accelerators = u64::from(has.accelerators);
     Resources::new(cores * 1000, u64::from(has.memory), accelerators)
--- a/crates/cassiarock-entry/src/state/calls.rs
+++ b/crates/cassiarock-entry/src/state/calls.rs
@@ -262,11 +262,11 @@
 }
 
 /// The most that any task of the job declares, in the whole numbers of rules.
-fn job_need(submission: &Submission) -> rule::request::Need {
+fn job_need(submission: &Submission) -> rule::request::Resources {
     let needs = submission.tasks.iter().map(|task| task.need);
-    needs.fold(rule::request::Need::default(), |most, need| {
+    needs.fold(rule::request::Resources::default(), |most, need| {
         let memory = need.memory.div_ceil(MEGABYTE);
-        rule::request::Need {
+        rule::request::Resources {
             // A float is cut to the range of the whole number; none is negative here.
             cores: most.cores.max(need.cores.ceil() as u32),
             memory: most.memory.max(u32::try_from(memory).unwrap_or(u32::MAX)),
--- a/crates/cassiarock-entry/src/state/mod.rs
+++ b/crates/cassiarock-entry/src/state/mod.rs
@@ -62,7 +62,7 @@
     retries: BTreeSet<(Duration, Job, Task)>,
     behind: Behind,
     /// The load of each pool, for the rules, as of the last judgement.
-    loads: rule::request::Loads,
+    loads: rule::request::PoolLoads,
     /// When the pools are asked next for jobs that cannot be in time any more.
     judged: Duration,
     /// When the other entries are told next.
@@ -100,7 +100,7 @@
             leaving: false,
             retries: BTreeSet::new(),
             behind: Behind::default(),
-            loads: rule::request::Loads::default(),
+            loads: rule::request::PoolLoads::default(),
             judged: Duration::ZERO,
             told: Duration::ZERO,
         }
--- a/crates/cassiarock-entry/src/state/teams.rs
+++ b/crates/cassiarock-entry/src/state/teams.rs
@@ -6,7 +6,7 @@
 use cassiarock_policy::admission::{Share, Usage};
 use cassiarock_process::Now;
 use cassiarock_rule::Configuration;
-use cassiarock_rule::request::Loads;
+use cassiarock_rule::request::PoolLoads;
 use cassiarock_wire::Frame;
 use std::collections::HashMap;
 
@@ -83,7 +83,7 @@
         }
         self.judged = now.up + JUDGE_EVERY;
         let loads = self.pools.iter();
-        self.loads = loads.fold(Loads::default(), |loads, (name, pool)| {
+        self.loads = loads.fold(PoolLoads::default(), |loads, (name, pool)| {
             loads.with_pool(name.clone(), pool.load_percent())
         });
         let hopeless: Vec<Job> = self
--- a/crates/cassiarock-operator/src/run/platform.rs
+++ b/crates/cassiarock-operator/src/run/platform.rs
@@ -6,7 +6,7 @@
 use cassiarock_platform::publish::{Answer, append};
 use cassiarock_platform::{Error as Cause, Log, Publisher};
 use cassiarock_rule::record::Body;
-use cassiarock_rule::{Configuration, Difference, Record, Set, State, edit, effect::Reason};
+use cassiarock_rule::{Configuration, Difference, Record, RuleSet, State, edit, effect::Reason};
 use cassiarock_settings::Client;
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
     /// Begins anew on a log whose state nobody can know, and gives the new version. The
     /// record counts only at the end of the log as it was seen here, so that of two
     /// operators who restore at once one wins.
-    pub async fn restore(&mut self, set: Set, config: Configuration) -> Result<u64, Error> {
+    pub async fn restore(&mut self, set: RuleSet, config: Configuration) -> Result<u64, Error> {
         const STEP: &str = "restore";
         match during(STEP, self.publisher.state()).await {
             Err(Cause::Cut { .. }) => {}
--- a/crates/cassiarock-operator/src/run/rules.rs
+++ b/crates/cassiarock-operator/src/run/rules.rs
@@ -4,7 +4,7 @@
 use super::platform::Platform;
 use crate::progress::during;
 use crate::{Error, Report, Rules, Table, document};
-use cassiarock_rule::{Action, Configuration, Edit, Set, State, source};
+use cassiarock_rule::{Action, Configuration, Edit, RuleSet, State, source};
 use cassiarock_settings::Client;
 use serde_json::json;
 use std::path::Path;
@@ -49,7 +49,7 @@
 }
 
 /// Reads and checks a file of rules.
-pub fn read(file: &Path, configuration: &Configuration) -> Result<Set, Error> {
+pub fn read(file: &Path, configuration: &Configuration) -> Result<RuleSet, Error> {
     let set = source::read(&document::text(file)?, configuration);
     set.map_err(|error| document::input(file, error.to_string()))
 }
--- a/crates/cassiarock-operator/tests/status.rs
+++ b/crates/cassiarock-operator/tests/status.rs
@@ -7,7 +7,7 @@
 use cassiarock_id::{Process, Wall};
 use cassiarock_operator::{Action, Command, Exit, act};
 use cassiarock_process::{Evacuation, Status};
-use cassiarock_rule::{Explanation, Request, Set};
+use cassiarock_rule::{Explanation, Request, RuleSet};
 use cassiarock_settings::Client;
 use serde_json::Value;
 use tokio::net::TcpListener;
@@ -72,7 +72,7 @@
 async fn the_first_entry_that_answers_explains() {
     let answer = |Json(question): Json<Value>| async move {
         let request = Request::new(question["kind"].as_str().unwrap());
-        Json(Explanation::new(7, &Set::default(), &request))
+        Json(Explanation::new(7, &RuleSet::default(), &request))
     };
     let entry = serve(Router::new().route("/explain", post(answer))).await;
     let client = Client::new("ana", NOWHERE).with_status([NOWHERE.to_owned(), entry]);
--- a/crates/cassiarock-platform/examples/state/memory.rs
+++ b/crates/cassiarock-platform/examples/state/memory.rs
@@ -3,7 +3,7 @@
 use crate::sample;
 use cassiarock_rule::check::RULES;
 use cassiarock_rule::membership::KEPT;
-use cassiarock_rule::{Record, Request, Set};
+use cassiarock_rule::{Record, Request, RuleSet};
 use std::error::Error;
 use std::hint::black_box;
 use std::sync::Arc;
@@ -90,7 +90,7 @@
     const ROUNDS: u32 = 2_000;
     println!("\nrules  decide_us");
     for count in [1, 64, 256, 1_024] {
-        let set = Arc::new(Set::new((0..count).map(sample::rule).collect()));
+        let set = Arc::new(RuleSet::new((0..count).map(sample::rule).collect()));
         let last = count - 1;
         let request =
             Request::new(format!("kind-{last}")).with_team(format!("team-{}", last % 180));
--- a/crates/cassiarock-platform/src/publish/publisher.rs
+++ b/crates/cassiarock-platform/src/publish/publisher.rs
@@ -110,7 +110,7 @@
             Ok(set) => set,
             Err(reason) => return Ok(self.rejected(reason, state)),
         };
-        let problems = check::set(&set, &state.configuration);
+        let problems = check::rule_set(&set, &state.configuration);
         if !problems.is_empty() {
             return Ok(self.rejected(wrong(&problems), state));
         }
--- a/crates/cassiarock-platform/tests/turn.rs
+++ b/crates/cassiarock-platform/tests/turn.rs
@@ -3,7 +3,7 @@
 use cassiarock_id::{Process, Wall};
 use cassiarock_platform::{Follower, Log, publish};
 use cassiarock_rule::record::Body;
-use cassiarock_rule::{Configuration, Member, Record, Set};
+use cassiarock_rule::{Configuration, Member, Record, RuleSet};
 use cassiarock_test_support::log::Stand;
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,7 @@
         .unwrap();
     let restore = Body::Restore {
         end: AGENTS,
-        set: Set::default(),
+        set: RuleSet::default(),
         configuration: Configuration::default(),
     };
     append(&stand, restore);
--- a/crates/cassiarock-rule/src/check/mod.rs
+++ b/crates/cassiarock-rule/src/check/mod.rs
@@ -6,7 +6,7 @@
 
 pub use problem::{Fault, Problem};
 
-use crate::{Configuration, Rule, Set};
+use crate::{Configuration, Rule, RuleSet};
 
 /// The most rules in a set. Every request is compared with them in order, which at a thousand
 /// rules costs an entry some ten microseconds a job; and a state must fit one record.
@@ -15,13 +15,13 @@
 /// All that is wrong with `set` under `configuration`, in the order of the rules.
 ///
 /// ```
-/// use cassiarock_rule::{Action, Configuration, Rule, Set, action::Run, check};
-/// let set = Set::new(vec![Rule::new("all", Action::Run(Run::new("nowhere")))]);
-/// let problems = check::set(&set, &Configuration::default());
+/// use cassiarock_rule::{Action, Configuration, Rule, RuleSet, action::Run, check};
+/// let set = RuleSet::new(vec![Rule::new("all", Action::Run(Run::new("nowhere")))]);
+/// let problems = check::rule_set(&set, &Configuration::default());
 /// assert_eq!(problems[0].to_string(), "rule all at 0: no pool is named nowhere");
 /// ```
 #[must_use]
-pub fn set(set: &Set, configuration: &Configuration) -> Vec<Problem> {
+pub fn rule_set(set: &RuleSet, configuration: &Configuration) -> Vec<Problem> {
     let mut problems: Vec<_> = set
         .rules
         .iter()
@@ -42,11 +42,11 @@
 /// All that is wrong with `configuration` for itself or under the rules of `rules`.
 ///
 /// ```
-/// use cassiarock_rule::{Configuration, Set, check};
-/// assert!(check::configuration(&Configuration::default(), &Set::default()).is_empty());
+/// use cassiarock_rule::{Configuration, RuleSet, check};
+/// assert!(check::configuration(&Configuration::default(), &RuleSet::default()).is_empty());
 /// ```
 #[must_use]
-pub fn configuration(configuration: &Configuration, rules: &Set) -> Vec<String> {
+pub fn configuration(configuration: &Configuration, rules: &RuleSet) -> Vec<String> {
     let teams = configuration.teams.iter();
     let zero = teams.filter(|(_, quota)| quota.slots == 0);
     let zero = zero.map(|(team, _)| {
@@ -59,12 +59,12 @@
         .pools
         .contains_key(crate::action::DEFAULT_POOL))
     .then(|| "no pool is named default, where unmatched requests run".to_owned());
-    let broken = set(rules, configuration);
+    let broken = rule_set(rules, configuration);
     let broken = broken.iter().map(ToString::to_string);
     zero.chain(percent).chain(default).chain(broken).collect()
 }
 
-fn one(set: &Set, position: usize, rule: &Rule, configuration: &Configuration) -> Vec<Problem> {
+fn one(set: &RuleSet, position: usize, rule: &Rule, configuration: &Configuration) -> Vec<Problem> {
     let earlier = &set.rules[..position];
     let mut faults = rule::faults(rule, configuration);
     faults.extend(rule::shadow(rule, earlier));
--- a/crates/cassiarock-rule/src/condition/obstacle.rs
+++ b/crates/cassiarock-rule/src/condition/mismatch.rs
@@ -11,12 +11,12 @@
     /// ```
     /// use cassiarock_rule::{Condition, Request};
     /// let condition = Condition { kinds: vec!["alert".into()], ..Condition::default() };
-    /// let obstacle = condition.obstacle(&Request::new("report"));
-    /// assert_eq!(obstacle.as_deref(), Some("kind report is not among alert"));
-    /// assert_eq!(condition.obstacle(&Request::new("alert")), None);
+    /// let mismatch = condition.mismatch(&Request::new("report"));
+    /// assert_eq!(mismatch.as_deref(), Some("kind report is not among alert"));
+    /// assert_eq!(condition.mismatch(&Request::new("alert")), None);
     /// ```
     #[must_use]
-    pub fn obstacle(&self, request: &Request) -> Option<String> {
+    pub fn mismatch(&self, request: &Request) -> Option<String> {
         let need = request.need;
         list("kind", &self.kinds, &request.kind)
             .or_else(|| list("team", &self.teams, &request.team))
@@ -41,7 +41,7 @@
     }
 
     fn time(&self, request: &Request) -> Option<String> {
-        let clock = request.clock();
+        let clock = request.time_of_day();
         let hours = self.hours.filter(|hours| !hours.contains(clock))?;
         Some(format!(
             "{clock} is not within {} to {}",
--- a/crates/cassiarock-rule/src/condition/mod.rs
+++ b/crates/cassiarock-rule/src/condition/mod.rs
@@ -1,11 +1,11 @@
 //! The conditions under which a rule matches a request.
 
-mod clock;
-mod obstacle;
+mod mismatch;
 mod span;
+mod time_of_day;
 
-pub use clock::{Clock, Hours, Malformed};
 pub use span::Span;
+pub use time_of_day::{Hours, ParseTimeOfDayError, TimeOfDay};
 
 use crate::Request;
 use cassiarock_id::Name;
@@ -63,11 +63,11 @@
     /// ```
     /// use cassiarock_rule::{Condition, Request};
     /// let condition = Condition { kinds: vec!["alert".into()], ..Condition::default() };
-    /// assert!(condition.holds(&Request::new("alert")));
-    /// assert!(!condition.holds(&Request::new("report")));
+    /// assert!(condition.matches(&Request::new("alert")));
+    /// assert!(!condition.matches(&Request::new("report")));
     /// ```
     #[must_use]
-    pub fn holds(&self, request: &Request) -> bool {
+    pub fn matches(&self, request: &Request) -> bool {
         lists(&self.kinds, &request.kind)
             && lists(&self.teams, &request.team)
             && lists(&self.data_centres, &request.data_centre)
@@ -80,11 +80,11 @@
                 .is_none_or(|wanted| wanted == request.repeatable)
             && self
                 .hours
-                .is_none_or(|hours| hours.contains(request.clock()))
-            && self.load_holds(request)
+                .is_none_or(|hours| hours.contains(request.time_of_day()))
+            && self.load_matches(request)
     }
 
-    fn load_holds(&self, request: &Request) -> bool {
+    fn load_matches(&self, request: &Request) -> bool {
         self.load
             .as_ref()
             .is_none_or(|load| load.percent.contains(request.loads.of(&load.pool)))
--- a/crates/cassiarock-rule/src/condition/clock.rs
+++ b/crates/cassiarock-rule/src/condition/time_of_day.rs
@@ -13,24 +13,24 @@
 /// A minute of the day in UTC, written `06:30`.
 ///
 /// ```
-/// use cassiarock_rule::condition::Clock;
+/// use cassiarock_rule::condition::TimeOfDay;
 /// use cassiarock_id::Wall;
-/// let clock: Clock = "06:30".parse()?;
-/// assert_eq!(clock, Clock::at(Wall::from_millis((6 * 60 + 30) * 60_000)));
+/// let clock: TimeOfDay = "06:30".parse()?;
+/// assert_eq!(clock, TimeOfDay::at(Wall::from_millis((6 * 60 + 30) * 60_000)));
 /// assert_eq!(clock.to_string(), "06:30");
-/// # Ok::<_, cassiarock_rule::condition::Malformed>(())
+/// # Ok::<_, cassiarock_rule::condition::ParseTimeOfDayError>(())
 /// ```
 #[derive(
     Clone, Copy, Debug, DeserializeFromStr, Eq, Ord, PartialEq, PartialOrd, SerializeDisplay,
 )]
-pub struct Clock(u16);
+pub struct TimeOfDay(u16);
 
 /// The text is no time of day; write hours and minutes as `06:30`, from 00:00 to 23:59.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not a time of day such as 06:30")]
-pub struct Malformed;
+pub struct ParseTimeOfDayError;
 
-impl Clock {
+impl TimeOfDay {
     /// The minute of the day at `wall`.
     #[must_use]
     pub fn at(wall: Wall) -> Self {
@@ -39,21 +39,21 @@
     }
 }
 
-impl FromStr for Clock {
-    type Err = Malformed;
+impl FromStr for TimeOfDay {
+    type Err = ParseTimeOfDayError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
-        let (hours, minutes) = text.split_once(':').ok_or(Malformed)?;
-        let hours: u16 = hours.parse().map_err(|_| Malformed)?;
-        let minutes: u16 = minutes.parse().map_err(|_| Malformed)?;
+    fn from_str(text: &str) -> Result<Self, ParseTimeOfDayError> {
+        let (hours, minutes) = text.split_once(':').ok_or(ParseTimeOfDayError)?;
+        let hours: u16 = hours.parse().map_err(|_| ParseTimeOfDayError)?;
+        let minutes: u16 = minutes.parse().map_err(|_| ParseTimeOfDayError)?;
         if hours >= 24 || minutes >= MINUTES_PER_HOUR {
-            return Err(Malformed);
+            return Err(ParseTimeOfDayError);
         }
         Ok(Self(hours * MINUTES_PER_HOUR + minutes))
     }
 }
 
-impl fmt::Display for Clock {
+impl fmt::Display for TimeOfDay {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (hours, minutes) = (self.0 / MINUTES_PER_HOUR, self.0 % MINUTES_PER_HOUR);
         write!(f, "{hours:02}:{minutes:02}")
@@ -65,9 +65,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Hours {
     /// The first minute inside.
-    pub from: Clock,
+    pub from: TimeOfDay,
     /// The first minute after.
-    pub until: Clock,
+    pub until: TimeOfDay,
 }
 
 impl Hours {
@@ -78,10 +78,10 @@
     /// let night = Hours { from: "22:00".parse()?, until: "05:00".parse()? };
     /// assert!(night.contains("23:30".parse()?));
     /// assert!(!night.contains("05:00".parse()?));
-    /// # Ok::<_, cassiarock_rule::condition::Malformed>(())
+    /// # Ok::<_, cassiarock_rule::condition::ParseTimeOfDayError>(())
     /// ```
     #[must_use]
-    pub fn contains(self, clock: Clock) -> bool {
+    pub fn contains(self, clock: TimeOfDay) -> bool {
         if self.from <= self.until {
             (self.from..self.until).contains(&clock)
         } else {
@@ -93,7 +93,7 @@
     #[must_use]
     pub fn covers(self, other: Self) -> bool {
         (0..MINUTES_PER_DAY)
-            .map(Clock)
+            .map(TimeOfDay)
             .all(|clock| self.contains(clock) || !other.contains(clock))
     }
 
--- a/crates/cassiarock-rule/src/difference.rs
+++ b/crates/cassiarock-rule/src/difference.rs
@@ -1,6 +1,6 @@
 //! What differs between two states, for an operator who lost a race.
 
-use crate::{Configuration, Set, State};
+use crate::{Configuration, RuleSet, State};
 use cassiarock_id::Name;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -89,7 +89,7 @@
     }
 }
 
-fn rules(old: &Set, new: &Set) -> Vec<Line> {
+fn rules(old: &RuleSet, new: &RuleSet) -> Vec<Line> {
     let deleted = old
         .rules
         .iter()
@@ -118,7 +118,7 @@
 }
 
 /// The longest run of rules that stand in the same order in both sets: the others moved.
-fn kept_order(old: &Set, new: &Set) -> Vec<Name> {
+fn kept_order(old: &RuleSet, new: &RuleSet) -> Vec<Name> {
     let places: Vec<_> = new
         .rules
         .iter()
--- a/crates/cassiarock-rule/src/edit.rs
+++ b/crates/cassiarock-rule/src/edit.rs
@@ -1,6 +1,6 @@
 //! Changes to the ordered rules.
 
-use crate::{Rule, Set};
+use crate::{Rule, RuleSet};
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 
@@ -36,7 +36,7 @@
     /// Put a whole set in place of all rules.
     Publish {
         /// The new set.
-        set: Set,
+        set: RuleSet,
     },
 }
 
@@ -63,18 +63,18 @@
     /// Carries it out.
     ///
     /// ```
-    /// use cassiarock_rule::{Action, Edit, Rule, Set, action::Run};
-    /// let mut set = Set::default();
+    /// use cassiarock_rule::{Action, Edit, Rule, RuleSet, action::Run};
+    /// let mut set = RuleSet::default();
     /// let rule = Rule::new("all", Action::Run(Run::default()));
     /// Edit::Insert { at: 0, rule }.apply(&mut set)?;
     /// Edit::Delete { name: "all".into() }.apply(&mut set)?;
-    /// assert_eq!(set, Set::default());
+    /// assert_eq!(set, RuleSet::default());
     /// # Ok::<_, cassiarock_rule::edit::Error>(())
     /// ```
     ///
     /// # Errors
     /// If it does not fit; the set is then unchanged.
-    pub fn apply(&self, set: &mut Set) -> Result<(), Error> {
+    pub fn apply(&self, set: &mut RuleSet) -> Result<(), Error> {
         match self {
             Self::Insert { at, rule } => insert(set, *at, rule),
             Self::Move { name, to } => shift(set, name, *to),
@@ -88,7 +88,7 @@
     }
 }
 
-fn insert(set: &mut Set, at: usize, rule: &Rule) -> Result<(), Error> {
+fn insert(set: &mut RuleSet, at: usize, rule: &Rule) -> Result<(), Error> {
     if set.position(&rule.name).is_some() {
         return Err(Error::Taken(rule.name.clone()));
     }
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-fn shift(set: &mut Set, name: &Name, to: usize) -> Result<(), Error> {
+fn shift(set: &mut RuleSet, name: &Name, to: usize) -> Result<(), Error> {
     let at = find(set, name)?;
     let length = set.rules.len();
     if to >= length {
@@ -111,13 +111,13 @@
     Ok(())
 }
 
-fn replace(set: &mut Set, rule: &Rule) -> Result<(), Error> {
+fn replace(set: &mut RuleSet, rule: &Rule) -> Result<(), Error> {
     let at = find(set, &rule.name)?;
     set.rules[at] = rule.clone();
     Ok(())
 }
 
-fn find(set: &Set, name: &Name) -> Result<usize, Error> {
+fn find(set: &RuleSet, name: &Name) -> Result<usize, Error> {
     set.position(name)
         .ok_or_else(|| Error::Unknown(name.clone()))
 }
--- a/crates/cassiarock-rule/src/lib.rs
+++ b/crates/cassiarock-rule/src/lib.rs
@@ -31,5 +31,5 @@
 pub use membership::{Member, Membership};
 pub use record::Record;
 pub use request::Request;
-pub use set::{Rule, Set};
+pub use set::{Rule, RuleSet};
 pub use state::State;
--- a/crates/cassiarock-rule/src/membership/history.rs
+++ b/crates/cassiarock-rule/src/membership/history.rs
@@ -32,7 +32,7 @@
 
 /// The members at one version.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Past {
+pub struct PastView {
     /// The version.
     pub version: u64,
     /// Its members.
@@ -136,13 +136,13 @@
     }
 
     /// All views above `after`, the oldest first, given the members of the latest one.
-    pub(super) fn views(&self, after: u64, members: &BTreeMap<Name, Member>) -> Vec<Past> {
+    pub(super) fn views(&self, after: u64, members: &BTreeMap<Name, Member>) -> Vec<PastView> {
         let present = members.values().map(|member| member.process.clone());
         let mut members: Vec<Process> = present.collect();
         let mut views = Vec::new();
         let newer = self.changes.iter().rev();
         for change in newer.take_while(|change| change.version > after) {
-            views.push(Past {
+            views.push(PastView {
                 version: change.version,
                 members: members.clone(),
                 retired: change.retired.clone(),
@@ -154,7 +154,7 @@
         // Jobs issued since this history is known may have lived in the view before the
         // first change that it remembers, and have run at a member that this one removed.
         if after < self.forgotten {
-            views.push(Past {
+            views.push(PastView {
                 version: self.forgotten,
                 members,
                 retired: None,
--- a/crates/cassiarock-rule/src/membership/member.rs
+++ b/crates/cassiarock-rule/src/membership/member.rs
@@ -1,7 +1,7 @@
 //! One agent.
 
 use crate::action::DEFAULT_POOL;
-use crate::request::Need;
+use crate::request::Resources;
 use cassiarock_id::{Name, Process};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     pub connections: u32,
     /// What its upstream has, if it announced that: a task that needs more can never run there.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub has: Option<Need>,
+    pub has: Option<Resources>,
     /// Whether it gets no new work.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
@@ -71,7 +71,7 @@
 
     /// The same before an upstream that has so much.
     #[must_use]
-    pub fn with_resources(self, has: Need) -> Self {
+    pub fn with_resources(self, has: Resources) -> Self {
         Self {
             has: Some(has),
             ..self
--- a/crates/cassiarock-rule/src/membership/mod.rs
+++ b/crates/cassiarock-rule/src/membership/mod.rs
@@ -6,7 +6,7 @@
 mod removal;
 
 pub use departure::{Departures, KEPT};
-pub use history::{History, Past};
+pub use history::{History, PastView};
 pub use member::Member;
 pub use removal::Removals;
 
@@ -127,7 +127,7 @@
     /// assert!(Membership::default().views(0).is_empty());
     /// ```
     #[must_use]
-    pub fn views(&self, after: u64) -> Vec<Past> {
+    pub fn views(&self, after: u64) -> Vec<PastView> {
         self.history.views(after, &self.members)
     }
 
--- a/crates/cassiarock-rule/src/record.rs
+++ b/crates/cassiarock-rule/src/record.rs
@@ -1,6 +1,6 @@
 //! The records on the log.
 
-use crate::{Configuration, Edit, Member, Set, State};
+use crate::{Configuration, Edit, Member, RuleSet, State};
 use cassiarock_id::{Name, Process, Wall};
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -92,7 +92,7 @@
         /// The end of the log that the operator saw; it counts only at this very offset.
         end: u64,
         /// The rules from now on.
-        set: Set,
+        set: RuleSet,
         /// The configuration from now on.
         configuration: Configuration,
     },
--- a/crates/cassiarock-rule/src/request.rs
+++ b/crates/cassiarock-rule/src/request.rs
@@ -1,6 +1,6 @@
 //! What the rules see of a request.
 
-use crate::condition::Clock;
+use crate::condition::TimeOfDay;
 use cassiarock_id::{Name, Wall};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 /// What a job declares for each of its tasks, or what an upstream has in all. Declarations are
 /// often far off: rules may sort by them, placement must not trust them.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Need {
+pub struct Resources {
     /// Processor cores.
     pub cores: u32,
     /// Memory in MB.
@@ -19,13 +19,13 @@
 
 /// The load of pools in percent of their slots, as the entry sees it.
 #[derive(Clone, Debug, Default)]
-pub struct Loads(BTreeMap<Name, u32>);
+pub struct PoolLoads(BTreeMap<Name, u32>);
 
-impl Loads {
+impl PoolLoads {
     /// The same with the load of `pool` set.
     ///
     /// ```
-    /// let loads = cassiarock_rule::request::Loads::default().with_pool("default", 80);
+    /// let loads = cassiarock_rule::request::PoolLoads::default().with_pool("default", 80);
     /// assert_eq!(loads.of("default"), 80);
     /// assert_eq!(loads.of("other"), 0);
     /// ```
@@ -52,7 +52,7 @@
     /// The number of tasks.
     pub tasks: u32,
     /// What each task declares.
-    pub need: Need,
+    pub need: Resources,
     /// The data centre in which it arrived.
     pub data_centre: Name,
     /// When it arrived.
@@ -60,7 +60,7 @@
     /// Whether running it twice does no harm.
     pub repeatable: bool,
     /// The load of the pools.
-    pub loads: Loads,
+    pub loads: PoolLoads,
 }
 
 impl Request {
@@ -76,11 +76,11 @@
             kind: kind.into(),
             team: "".into(),
             tasks: 1,
-            need: Need::default(),
+            need: Resources::default(),
             data_centre: "".into(),
             at: Wall::default(),
             repeatable: false,
-            loads: Loads::default(),
+            loads: PoolLoads::default(),
         }
     }
 
@@ -101,7 +101,7 @@
 
     /// The same with declared needs.
     #[must_use]
-    pub fn with_need(self, need: Need) -> Self {
+    pub fn with_need(self, need: Resources) -> Self {
         Self { need, ..self }
     }
 
@@ -128,13 +128,13 @@
 
     /// The same, seen with these loads of the pools.
     #[must_use]
-    pub fn with_loads(self, loads: Loads) -> Self {
+    pub fn with_loads(self, loads: PoolLoads) -> Self {
         Self { loads, ..self }
     }
 
     /// The time of day (UTC) at which it arrived.
     #[must_use]
-    pub fn clock(&self) -> Clock {
-        Clock::at(self.at)
+    pub fn time_of_day(&self) -> TimeOfDay {
+        TimeOfDay::at(self.at)
     }
 }
--- a/crates/cassiarock-rule/src/set.rs
+++ b/crates/cassiarock-rule/src/set.rs
@@ -41,12 +41,12 @@
 /// Rules in order; the first that matches decides.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
-pub struct Set {
+pub struct RuleSet {
     /// In the order of matching.
     pub rules: Vec<Rule>,
 }
 
-impl Set {
+impl RuleSet {
     /// A set of these rules, in this order.
     #[must_use]
     pub fn new(rules: Vec<Rule>) -> Self {
@@ -57,14 +57,17 @@
     /// pool under the default limits, so that a first start needs no rules.
     ///
     /// ```
-    /// use cassiarock_rule::{Action, Request, Rule, Set};
+    /// use cassiarock_rule::{Action, Request, Rule, RuleSet};
     /// let closed = Action::Refuse { reason: "closed".into() };
-    /// let set = Set::new(vec![Rule::new("all", closed)]);
+    /// let set = RuleSet::new(vec![Rule::new("all", closed)]);
     /// assert_eq!(&*set.decide(&Request::new("any")).rule, "all");
     /// ```
     #[must_use]
     pub fn decide(&self, request: &Request) -> Decision {
-        let found = self.rules.iter().position(|rule| rule.when.holds(request));
+        let found = self
+            .rules
+            .iter()
+            .position(|rule| rule.when.matches(request));
         match found.and_then(|position| Some((position, self.rules.get(position)?))) {
             Some((position, rule)) => Decision {
                 rule: rule.name.clone(),
--- a/crates/cassiarock-rule/src/source.rs
+++ b/crates/cassiarock-rule/src/source.rs
@@ -1,7 +1,7 @@
 //! Reading a rule set from the text of an operator's file: JSON with comments.
 
 use crate::check::{self, Problem};
-use crate::{Configuration, Rule, Set};
+use crate::{Configuration, Rule, RuleSet};
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions};
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// If the text is no rule set, or one that cannot be right.
-pub fn read(text: &str, configuration: &Configuration) -> Result<Set, Error> {
+pub fn read(text: &str, configuration: &Configuration) -> Result<RuleSet, Error> {
     let parsed =
         jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default())
             .map_err(|error| Error::Syntax {
@@ -70,11 +70,11 @@
         })?);
         lines.push(line);
     }
-    checked(Set::new(rules), &lines, configuration)
+    checked(RuleSet::new(rules), &lines, configuration)
 }
 
-fn checked(set: Set, lines: &[usize], configuration: &Configuration) -> Result<Set, Error> {
-    let problems = check::set(&set, configuration);
+fn checked(set: RuleSet, lines: &[usize], configuration: &Configuration) -> Result<RuleSet, Error> {
+    let problems = check::rule_set(&set, configuration);
     if problems.is_empty() {
         return Ok(set);
     }
--- a/crates/cassiarock-rule/src/state.rs
+++ b/crates/cassiarock-rule/src/state.rs
@@ -3,7 +3,7 @@
 use crate::effect::{Effect, Reason};
 use crate::membership::{History, Order, Remover};
 use crate::record::{Body, Id};
-use crate::{Configuration, Edit, Membership, Record, Set};
+use crate::{Configuration, Edit, Membership, Record, RuleSet};
 use cassiarock_id::{Name, Wall};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -36,7 +36,7 @@
     /// Who made that version; nobody before the first.
     pub change: Option<Change>,
     /// The rules.
-    pub rules: Arc<Set>,
+    pub rules: Arc<RuleSet>,
     /// The configuration.
     pub configuration: Arc<Configuration>,
     /// The agents.
@@ -164,8 +164,8 @@
     ///
     /// # Errors
     /// If one of them does not fit.
-    pub fn with_edits(&self, edits: &[Edit]) -> Result<Set, Reason> {
-        let mut set = Set::clone(&self.rules);
+    pub fn with_edits(&self, edits: &[Edit]) -> Result<RuleSet, Reason> {
+        let mut set = RuleSet::clone(&self.rules);
         for (position, edit) in edits.iter().enumerate() {
             edit.apply(&mut set)
                 .map_err(|error| Reason::Edit { position, error })?;
@@ -204,7 +204,7 @@
         offset: u64,
         end: u64,
         record: &Record,
-        set: &Set,
+        set: &RuleSet,
         configuration: &Configuration,
     ) -> Effect {
         if offset != end {
@@ -218,7 +218,7 @@
     pub(crate) fn restored(
         offset: u64,
         record: &Record,
-        set: &Set,
+        set: &RuleSet,
         configuration: &Configuration,
     ) -> Self {
         let version = offset + 1;
--- a/crates/cassiarock-rule/tests/check.rs
+++ b/crates/cassiarock-rule/tests/check.rs
@@ -1,6 +1,6 @@
 //! Rule sets that cannot be right, and those that can.
 
-use cassiarock_rule::{Configuration, Set, check, source};
+use cassiarock_rule::{Configuration, RuleSet, check, source};
 use yare::parameterized;
 
 const RUN: &str = r#""then": { "run": {} }"#;
@@ -75,7 +75,7 @@
     let set = source::read(text, &configuration).unwrap();
     let found = check::configuration(&Configuration::default(), &set);
     assert_eq!(found, ["rule a at 0: no pool is named night"]);
-    assert!(check::configuration(&configuration, &Set::default()).is_empty());
+    assert!(check::configuration(&configuration, &RuleSet::default()).is_empty());
 }
 
 #[test]
--- a/crates/cassiarock-rule/tests/decide.rs
+++ b/crates/cassiarock-rule/tests/decide.rs
@@ -1,8 +1,8 @@
 //! Which rule decides.
 
 use cassiarock_id::Wall;
-use cassiarock_rule::request::{Loads, Need};
-use cassiarock_rule::{Action, Condition, Configuration, Edit, Request, Rule, Set, source};
+use cassiarock_rule::request::{PoolLoads, Resources};
+use cassiarock_rule::{Action, Condition, Configuration, Edit, Request, Rule, RuleSet, source};
 use yare::parameterized;
 
 fn condition(text: &str) -> Condition {
@@ -18,7 +18,7 @@
     Request::new("seat-check")
         .with_team("andes")
         .with_tasks(12)
-        .with_need(Need {
+        .with_need(Resources {
             cores: 2,
             memory: 512,
             accelerators: 1,
@@ -26,7 +26,7 @@
         .with_data_centre("dc-1")
         .with_time(Wall::from_millis((24 + 6) * 3_600_000))
         .with_repeatable(true)
-        .with_loads(Loads::default().with_pool("default", 85))
+        .with_loads(PoolLoads::default().with_pool("default", 85))
 }
 
 #[parameterized(
@@ -43,8 +43,8 @@
     repeatable = { r#""repeatable": true"#, r#""repeatable": false"# },
 )]
 fn a_condition_holds_or_not(holds: &str, fails: &str) {
-    assert!(condition(holds).holds(&morning()));
-    assert!(!condition(fails).holds(&morning()));
+    assert!(condition(holds).matches(&morning()));
+    assert!(!condition(fails).matches(&morning()));
 }
 
 fn refusing(name: &str, kind: &str) -> Rule {
@@ -63,7 +63,7 @@
 
 #[test]
 fn the_first_rule_that_matches_decides_and_edits_change_the_order() {
-    let mut set = Set::new(vec![
+    let mut set = RuleSet::new(vec![
         refusing("a", "x"),
         refusing("b", "x"),
         refusing("c", "y"),
@@ -91,7 +91,7 @@
     replace_unknown = { Edit::Replace { rule: refusing("b", "x") } },
 )]
 fn an_edit_that_does_not_fit_changes_nothing(edit: Edit) {
-    let mut set = Set::new(vec![refusing("a", "x")]);
+    let mut set = RuleSet::new(vec![refusing("a", "x")]);
     assert!(edit.apply(&mut set).is_err());
-    assert_eq!(set, Set::new(vec![refusing("a", "x")]));
+    assert_eq!(set, RuleSet::new(vec![refusing("a", "x")]));
 }
--- a/crates/cassiarock-rule/tests/explanation.rs
+++ b/crates/cassiarock-rule/tests/explanation.rs
@@ -4,13 +4,13 @@
 
 use cassiarock_id::Wall;
 use cassiarock_rule::condition::{Condition, Span};
-use cassiarock_rule::request::{Loads, Need};
-use cassiarock_rule::{Action, Explanation, Request, Rule, Set};
+use cassiarock_rule::request::{PoolLoads, Resources};
+use cassiarock_rule::{Action, Explanation, Request, Rule, RuleSet};
 use serde_json::{Value, json};
 use yare::parameterized;
 
 fn request() -> Request {
-    let need = Need {
+    let need = Resources {
         cores: 2,
         memory: 512,
         accelerators: 1,
@@ -21,7 +21,7 @@
         .with_need(need)
         .with_data_centre("andes-1")
         .with_time(Wall::from_millis(7 * 3_600_000))
-        .with_loads(Loads::default().with_pool("booking", 85))
+        .with_loads(PoolLoads::default().with_pool("booking", 85))
 }
 
 #[parameterized(
@@ -38,8 +38,8 @@
 )]
 fn each_part_of_a_condition_is_named_when_it_fails(when: Value, reason: &str) {
     let when: Condition = serde_json::from_value(when).unwrap();
-    assert!(!when.holds(&request()));
-    assert_eq!(when.obstacle(&request()).as_deref(), Some(reason));
+    assert!(!when.matches(&request()));
+    assert_eq!(when.mismatch(&request()).as_deref(), Some(reason));
 }
 
 #[test]
@@ -51,8 +51,8 @@
         "load": { "pool": "booking", "percent": { "min": 85 } }, "repeatable": false,
     });
     let when: Condition = serde_json::from_value(when).unwrap();
-    assert!(when.holds(&request()));
-    assert_eq!(when.obstacle(&request()), None);
+    assert!(when.matches(&request()));
+    assert_eq!(when.mismatch(&request()), None);
 }
 
 #[test]
@@ -64,7 +64,7 @@
         tasks: Span { min: 0, max: 9 },
         ..Condition::default()
     };
-    let set = Set::new(vec![
+    let set = RuleSet::new(vec![
         Rule::new("small", closed()).with_condition(small),
         Rule::new("all", closed()),
         Rule::new("never", closed()),
--- a/crates/cassiarock-rule/tests/model/mod.rs
+++ b/crates/cassiarock-rule/tests/model/mod.rs
@@ -3,7 +3,7 @@
 use cassiarock_id::{Process, Wall};
 use cassiarock_rule::action::Run;
 use cassiarock_rule::record::{Body, Id};
-use cassiarock_rule::{Action, Edit, Fold, Member, Record, Rule, Set, State};
+use cassiarock_rule::{Action, Edit, Fold, Member, Record, Rule, RuleSet, State};
 use proptest::prelude::*;
 
 pub const READERS: usize = 3;
@@ -181,7 +181,7 @@
     fn restore(&mut self, ago: u64) {
         self.append(Body::Restore {
             end: self.end().saturating_sub(ago),
-            set: Set::default(),
+            set: RuleSet::default(),
             configuration: cassiarock_rule::Configuration::default(),
         });
     }
--- a/crates/cassiarock-rule/tests/state.rs
+++ b/crates/cassiarock-rule/tests/state.rs
@@ -5,7 +5,7 @@
 use cassiarock_rule::effect::Reason;
 use cassiarock_rule::membership::Standing;
 use cassiarock_rule::record::{Body, Id};
-use cassiarock_rule::{Action, Configuration, Edit, Effect, Member, Record, Rule, Set, State};
+use cassiarock_rule::{Action, Configuration, Edit, Effect, Member, Record, Rule, RuleSet, State};
 
 fn rule(name: &str) -> Rule {
     Rule::new(name, Action::Run(Run::default()))
@@ -174,7 +174,7 @@
     let at = Wall::from_millis(5_000);
     let body = Body::Restore {
         end: 1,
-        set: Set::default(),
+        set: RuleSet::default(),
         configuration: Configuration::default(),
     };
     let (state, effects) = fold(&[joined("a", 1), Record::new(at, "ana", body)]);
