--- a/crates/cassiarock-entry/src/explain.rs
+++ b/crates/cassiarock-entry/src/explain.rs
@@ -60,7 +60,7 @@
         };
         Request::new(self.kind)
             .with_team(self.team)
-            .with_tasks(self.tasks)
+            .with_task_count(self.tasks)
             .with_need(need)
             .with_repeatable(self.repeatable)
     }
--- a/crates/cassiarock-entry/src/state/calls.rs
+++ b/crates/cassiarock-entry/src/state/calls.rs
@@ -216,7 +216,7 @@
         let tasks = u32::try_from(submission.tasks.len()).unwrap_or(u32::MAX);
         let request = rule::Request::new(submission.kind.clone())
             .with_team(submission.team.clone())
-            .with_tasks(tasks)
+            .with_task_count(tasks)
             .with_need(job_need(submission))
             .with_repeatable(submission.repeatable);
         self.received(request, now)
--- a/crates/cassiarock-entry/src/state/views.rs
+++ b/crates/cassiarock-entry/src/state/views.rs
@@ -43,7 +43,7 @@
     fn adopt_views(&mut self) {
         let membership = Arc::clone(&self.rules.membership);
         let known = self.views.version();
-        if known.is_none_or(|known| !membership.history.is_whole_since(known)) {
+        if known.is_none_or(|known| !membership.history.is_complete_since(known)) {
             let since = membership.history.known_since();
             self.views = ViewHistory::new(self.setting.timing(), since);
         }
--- a/crates/cassiarock-operator/src/run/platform.rs
+++ b/crates/cassiarock-operator/src/run/platform.rs
@@ -131,11 +131,11 @@
             step,
             what: format!("rule `{name}`"),
         },
-        Reason::Unknown(name) => Error::Unknown {
+        Reason::UnknownAgent(name) => Error::Unknown {
             step,
             what: format!("agent `{name}`"),
         },
-        Reason::Bounded { .. } => Error::Refused {
+        Reason::DrainLimit { .. } => Error::Refused {
             step,
             reason: format!("{reason}; wait for others to return, or give --force"),
         },
--- a/crates/cassiarock-platform/examples/state/memory.rs
+++ b/crates/cassiarock-platform/examples/state/memory.rs
@@ -1,8 +1,8 @@
 //! Bytes, memory and processor time of a state.
 
 use crate::sample;
-use cassiarock_rule::check::RULES;
-use cassiarock_rule::membership::KEPT;
+use cassiarock_rule::check::MAX_RULES;
+use cassiarock_rule::membership::MAX_DEPARTURES;
 use cassiarock_rule::{Record, Request, RuleSet};
 use std::error::Error;
 use std::hint::black_box;
@@ -34,17 +34,17 @@
 /// The largest state that the bounds allow at the full size.
 pub fn largest() -> Result<(), Box<dyn Error>> {
     let mut state = sample::state(sample::AGENTS);
-    let rules = u32::try_from(RULES)?;
+    let rules = u32::try_from(MAX_RULES)?;
     for index in 0..rules {
         let change = sample::change(&state, index);
         state.apply(state.next, &change);
     }
-    for index in 0..u32::try_from(KEPT)? {
+    for index in 0..u32::try_from(MAX_DEPARTURES)? {
         state.apply(state.next, &sample::left(index, 0));
         state.apply(state.next, &sample::join(index, 1));
     }
     let bytes = sample::snapshot(&state)?.len();
-    println!("\nsnapshot with {rules} rules and {KEPT} departures: {bytes} bytes");
+    println!("\nsnapshot with {rules} rules and {MAX_DEPARTURES} departures: {bytes} bytes");
     let set = serde_json::to_vec(&sample::state(0).rules)?.len();
     println!("a set of 200 rules: {set} bytes");
     Ok(())
--- a/crates/cassiarock-platform/src/publish/publisher.rs
+++ b/crates/cassiarock-platform/src/publish/publisher.rs
@@ -225,5 +225,5 @@
 }
 
 fn wrong(problems: &[impl ToString]) -> Reason {
-    Reason::Wrong(problems.iter().map(ToString::to_string).collect())
+    Reason::Invalid(problems.iter().map(ToString::to_string).collect())
 }
--- a/crates/cassiarock-platform/src/publish/turn.rs
+++ b/crates/cassiarock-platform/src/publish/turn.rs
@@ -1,7 +1,7 @@
 //! When an agent may announce something on the log.
 
 use crate::follow::Status;
-use cassiarock_rule::spread;
+use cassiarock_rule::jitter;
 use tokio::sync::watch;
 
 /// Waits until the log answers, and then for this process's turn among all agents that may
@@ -9,7 +9,7 @@
 /// Gives the status then; nothing if the follower has ended.
 ///
 /// Appending while the log is down would only add calls to it, and appending at once when it
-/// returns would bring a thousand appends in one second; see [`spread::delay`].
+/// returns would bring a thousand appends in one second; see [`jitter::delay`].
 ///
 /// ```
 /// # use cassiarock_platform::{Follower, Log, publish};
@@ -24,6 +24,6 @@
 pub async fn turn(status: &mut watch::Receiver<Status>, draw: f64) -> Option<Status> {
     let known = status.wait_for(|status| status.reachable && status.state.is_some());
     let most = known.await.ok()?.most;
-    tokio::time::sleep(spread::delay(most, draw)).await;
+    tokio::time::sleep(jitter::delay(most, draw)).await;
     Some(status.borrow().clone())
 }
--- a/crates/cassiarock-platform/src/reader.rs
+++ b/crates/cassiarock-platform/src/reader.rs
@@ -50,13 +50,13 @@
     #[must_use]
     pub fn is_current(&self) -> bool {
         let fold = self.fold.as_ref();
-        fold.is_some_and(|fold| !fold.searches() && fold.next() >= self.end)
+        fold.is_some_and(|fold| !fold.is_searching() && fold.next_offset() >= self.end)
     }
 
     /// Whether records were cut that were never read, so that a base is searched.
     #[must_use]
     pub fn searches(&self) -> bool {
-        self.fold.as_ref().is_some_and(Fold::searches)
+        self.fold.as_ref().is_some_and(Fold::is_searching)
     }
 
     /// The end of the log as last seen.
@@ -98,7 +98,7 @@
         let Some(fold) = &mut self.fold else {
             return Ok(Vec::new());
         };
-        let batch = self.log.read(fold.next(), wait).await?;
+        let batch = self.log.read(fold.next_offset(), wait).await?;
         self.end = batch.end;
         take(&self.log, fold, batch)
     }
@@ -129,10 +129,10 @@
             let Some(fold) = &mut self.fold else {
                 return Ok(());
             };
-            let batch = self.log.read(fold.next(), Duration::ZERO).await?;
+            let batch = self.log.read(fold.next_offset(), Duration::ZERO).await?;
             self.end = batch.end;
             take(&self.log, fold, batch)?;
-            if fold.next() >= self.end {
+            if fold.next_offset() >= self.end {
                 return Ok(());
             }
         }
@@ -140,14 +140,14 @@
 }
 
 fn take(log: &Log, fold: &mut Fold, batch: Batch) -> Result<Vec<Outcome>, Error> {
-    if batch.end < fold.next() {
+    if batch.end < fold.next_offset() {
         return Err(Error::Regressed {
             peer: log.peer().into(),
             end: batch.end,
-            next: fold.next(),
+            next: fold.next_offset(),
         });
     }
-    fold.begin_at(batch.earliest);
+    fold.set_log_start(batch.earliest);
     let outcomes = batch.records.into_iter().map(|item| {
         let record = Record::decode(&item.bytes).ok();
         Outcome {
--- a/crates/cassiarock-platform/src/snapshot.rs
+++ b/crates/cassiarock-platform/src/snapshot.rs
@@ -62,11 +62,11 @@
         let known = status.borrow().clone();
         let state = known.state.filter(|_| known.reachable && known.current);
         let Some(state) = state else {
-            schedule.pause();
+            schedule.reset();
             continue;
         };
         if schedule.is_due(&state, Wall::now()) {
-            schedule.pause();
+            schedule.reset();
             append(&log, &by, &state).await;
         }
     }
--- a/crates/cassiarock-platform/tests/spread.rs
+++ b/crates/cassiarock-platform/tests/spread.rs
@@ -1,7 +1,7 @@
 //! What the log gets when many processes come back at once. Virtual time, fixed seed.
 
 use cassiarock_platform::follow::Backoff;
-use cassiarock_rule::spread;
+use cassiarock_rule::jitter;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -27,7 +27,7 @@
 )]
 fn returning_agents_announce_themselves_at_a_rate_the_log_takes(agents: usize, limit: usize) {
     let mut random = StdRng::seed_from_u64(7);
-    let calls = (0..agents).map(|_| spread::delay(agents, random.random()));
+    let calls = (0..agents).map(|_| jitter::delay(agents, random.random()));
     let found = busiest(calls.collect());
     assert!(found <= limit, "{found} in a second");
 }
--- a/crates/cassiarock-rule/src/check/mod.rs
+++ b/crates/cassiarock-rule/src/check/mod.rs
@@ -10,7 +10,7 @@
 
 /// The most rules in a set. Every request is compared with them in order, which at a thousand
 /// rules costs an entry some ten microseconds a job; and a state must fit one record.
-pub const RULES: usize = 1024;
+pub const MAX_RULES: usize = 1024;
 
 /// All that is wrong with `set` under `configuration`, in the order of the rules.
 ///
@@ -28,12 +28,12 @@
         .enumerate()
         .flat_map(|(position, rule)| one(set, position, rule, configuration))
         .collect();
-    if set.rules.len() > RULES {
-        let fault = Fault::Many { limit: RULES };
+    if set.rules.len() > MAX_RULES {
+        let fault = Fault::TooManyRules { limit: MAX_RULES };
         problems.extend(
             set.rules
-                .get(RULES)
-                .map(|rule| Problem::new(rule, RULES, fault)),
+                .get(MAX_RULES)
+                .map(|rule| Problem::new(rule, MAX_RULES, fault)),
         );
     }
     problems
--- a/crates/cassiarock-rule/src/check/problem.rs
+++ b/crates/cassiarock-rule/src/check/problem.rs
@@ -60,28 +60,28 @@
     Zero(&'static str),
     /// No request can match; the lower end must not lie above the upper one.
     #[error("{0} holds for no value")]
-    Empty(&'static str),
+    EmptyRange(&'static str),
     /// Edits could not tell the rules apart; give each another name.
     #[error("the name is taken by the rule at {0}")]
     Duplicate(usize),
     /// The rule needs a name.
     #[error("the name is empty")]
-    Nameless,
+    EmptyName,
     /// A caller must learn why; give a reason.
     #[error("a refusal without reason")]
-    Reasonless,
+    EmptyReason,
     /// A caller would wait beyond any use, and claims are not kept that long.
     #[error("a deadline above {limit_s} s")]
-    Deadline {
+    DeadlineTooLong {
         /// The longest deadline in seconds.
         limit_s: u64,
     },
     /// Retries would multiply the load of an outage; give at most 100.
     #[error("retry_percent above 100")]
-    Retries,
+    TooManyRetries,
     /// Delete rules that are no longer used.
     #[error("more than {limit} rules")]
-    Many {
+    TooManyRules {
         /// The limit.
         limit: usize,
     },
--- a/crates/cassiarock-rule/src/check/rule.rs
+++ b/crates/cassiarock-rule/src/check/rule.rs
@@ -13,12 +13,12 @@
 
 /// What is wrong with the rule itself.
 pub fn faults(rule: &Rule, configuration: &Configuration) -> Vec<Fault> {
-    let name = rule.name.is_empty().then_some(Fault::Nameless);
+    let name = rule.name.is_empty().then_some(Fault::EmptyName);
     let mut faults: Vec<_> = name.into_iter().collect();
     faults.extend(condition(&rule.when, configuration));
     match &rule.then {
         Action::Run(run) => faults.extend(limits(run, configuration)),
-        Action::Refuse { reason } if reason.is_empty() => faults.push(Fault::Reasonless),
+        Action::Refuse { reason } if reason.is_empty() => faults.push(Fault::EmptyReason),
         Action::Refuse { .. } => {}
     }
     faults
@@ -55,7 +55,7 @@
         ),
     ];
     let empty = spans.into_iter().filter(|(_, empty)| *empty);
-    let empty = empty.map(|(part, _)| Fault::Empty(part));
+    let empty = empty.map(|(part, _)| Fault::EmptyRange(part));
     let pool = when
         .load
         .as_ref()
@@ -74,10 +74,10 @@
     faults.extend(unknown(&run.pool, configuration));
     if run.deadline > LONGEST {
         let limit_s = LONGEST.as_secs();
-        faults.push(Fault::Deadline { limit_s });
+        faults.push(Fault::DeadlineTooLong { limit_s });
     }
     if run.retry_percent > RETRY_PERCENT {
-        faults.push(Fault::Retries);
+        faults.push(Fault::TooManyRetries);
     }
     faults
 }
--- a/crates/cassiarock-rule/src/condition/mismatch.rs
+++ b/crates/cassiarock-rule/src/condition/mismatch.rs
@@ -21,7 +21,7 @@
         list("kind", &self.kinds, &request.kind)
             .or_else(|| list("team", &self.teams, &request.team))
             .or_else(|| list("data_centre", &self.data_centres, &request.data_centre))
-            .or_else(|| span("tasks", self.tasks, request.tasks))
+            .or_else(|| span("tasks", self.tasks, request.task_count))
             .or_else(|| span("cores", self.cores, need.cores))
             .or_else(|| span("memory_mb", self.memory, need.memory))
             .or_else(|| span("accelerators", self.accelerators, need.accelerators))
--- a/crates/cassiarock-rule/src/condition/mod.rs
+++ b/crates/cassiarock-rule/src/condition/mod.rs
@@ -71,7 +71,7 @@
         lists(&self.kinds, &request.kind)
             && lists(&self.teams, &request.team)
             && lists(&self.data_centres, &request.data_centre)
-            && self.tasks.contains(request.tasks)
+            && self.tasks.contains(request.task_count)
             && self.cores.contains(request.need.cores)
             && self.memory.contains(request.need.memory)
             && self.accelerators.contains(request.need.accelerators)
--- a/crates/cassiarock-rule/src/edit.rs
+++ b/crates/cassiarock-rule/src/edit.rs
@@ -51,7 +51,8 @@
     Taken(Name),
     /// The position lies beyond the end; give one from 0 to the number of rules.
     #[error("position {at} is beyond the {length} rules")]
-    Beyond {
+    #[serde(rename = "Beyond")]
+    OutOfRange {
         /// The asked position.
         at: usize,
         /// The number of rules.
@@ -94,7 +95,7 @@
     }
     let length = set.rules.len();
     if at > length {
-        return Err(Error::Beyond { at, length });
+        return Err(Error::OutOfRange { at, length });
     }
     set.rules.insert(at, rule.clone());
     Ok(())
@@ -104,7 +105,7 @@
     let at = find(set, name)?;
     let length = set.rules.len();
     if to >= length {
-        return Err(Error::Beyond { at: to, length });
+        return Err(Error::OutOfRange { at: to, length });
     }
     let rule = set.rules.remove(at);
     set.rules.insert(to, rule);
--- a/crates/cassiarock-rule/src/effect.rs
+++ b/crates/cassiarock-rule/src/effect.rs
@@ -38,7 +38,7 @@
     /// The rules or the configuration cannot be right; correct each of the problems. Found
     /// before anything is appended.
     #[error("{}", .0.join("\n"))]
-    Wrong(Vec<String>),
+    Invalid(Vec<String>),
     /// The process was superseded by a later incarnation or has left; it must not act any
     /// more, and comes back only as a new incarnation.
     #[error("the process has left or was replaced")]
@@ -46,7 +46,7 @@
     /// Too many agents were removed by others within a minute, so the watcher is in doubt;
     /// look whether the agents can be reached, and remove the rest later.
     #[error("{removed} agents were removed within a minute, {members} are left")]
-    Removals {
+    RemovalLimit {
         /// How many were removed.
         removed: usize,
         /// How many are left.
@@ -54,10 +54,10 @@
     },
     /// No member has this name; look at the current membership.
     #[error("no agent is named {0}")]
-    Unknown(Name),
+    UnknownAgent(Name),
     /// Too much of the pool would be leaving; wait for others to return, or order it with force.
     #[error("{leaving} of {members} agents of pool {pool} would be leaving")]
-    Bounded {
+    DrainLimit {
         /// The pool.
         pool: Name,
         /// How many of its agents would be leaving.
--- a/crates/cassiarock-rule/src/fold.rs
+++ b/crates/cassiarock-rule/src/fold.rs
@@ -6,7 +6,7 @@
 
 /// How many records are kept while no base is found. Passing it only makes the search
 /// stricter, since the search then counts as begun later.
-const KEPT: usize = 16_384;
+const MAX_BUFFERED_RECORDS: usize = 16_384;
 
 /// A reader's fold. It starts from the empty state only at offset 0. Anywhere else it needs a
 /// base, and the rule is: **a snapshot counts only if this reader has seen every record since
@@ -66,13 +66,13 @@
 
     /// Whether records are missing between the state and what was read.
     #[must_use]
-    pub fn searches(&self) -> bool {
+    pub fn is_searching(&self) -> bool {
         self.search.is_some()
     }
 
     /// The offset of the record to read next.
     #[must_use]
-    pub fn next(&self) -> u64 {
+    pub fn next_offset(&self) -> u64 {
         match (&self.search, &self.state) {
             (Some(search), _) => search.next,
             (None, Some(state)) => state.next,
@@ -84,8 +84,8 @@
     /// searched from there. The state is kept meanwhile, but for the empty one: a process that
     /// starts while the log is being cut must not take itself to know that nothing was ever
     /// published.
-    pub fn begin_at(&mut self, earliest: u64) {
-        if earliest <= self.next() {
+    pub fn set_log_start(&mut self, earliest: u64) {
+        if earliest <= self.next_offset() {
             return;
         }
         self.search = Some(Search::new(earliest));
@@ -93,13 +93,13 @@
     }
 
     /// Takes the record at `offset`; `None` for one that this release cannot read. An offset
-    /// above the next one means that records were cut unread, see [`Self::begin_at`]. Gives
+    /// above the next one means that records were cut unread, see [`Self::set_log_start`]. Gives
     /// `None` while a base is searched.
     pub fn push(&mut self, offset: u64, record: Option<Record>) -> Option<Effect> {
-        if offset < self.next() {
+        if offset < self.next_offset() {
             return Some(Effect::Ignored);
         }
-        self.begin_at(offset);
+        self.set_log_start(offset);
         match (&mut self.search, &mut self.state) {
             (Some(search), _) => {
                 search.push(offset, record);
@@ -167,7 +167,7 @@
     fn push(&mut self, offset: u64, record: Option<Record>) {
         self.records.push_back((offset, record));
         self.next = offset + 1;
-        if self.records.len() > KEPT {
+        if self.records.len() > MAX_BUFFERED_RECORDS {
             self.records.pop_front();
             self.first += 1;
         }
--- a/crates/cassiarock-rule/src/lib.rs
+++ b/crates/cassiarock-rule/src/lib.rs
@@ -10,13 +10,13 @@
 pub mod effect;
 pub mod explanation;
 pub mod fold;
+pub mod jitter;
 pub mod membership;
 pub mod record;
 pub mod request;
 pub mod set;
 pub mod snapshot;
 pub mod source;
-pub mod spread;
 pub mod state;
 
 pub use action::Action;
--- a/crates/cassiarock-rule/src/membership/departure.rs
+++ b/crates/cassiarock-rule/src/membership/departure.rs
@@ -6,7 +6,7 @@
 
 /// How many names are remembered. At 210 replaced VMs a day it covers 4 days if no name ever
 /// returns, far more than a duplicate append is late; it keeps a snapshot near 1 MB.
-pub const KEPT: usize = 1024;
+pub const MAX_DEPARTURES: usize = 1024;
 
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Departure {
@@ -22,7 +22,7 @@
 impl Departures {
     /// Whether this life of the process, or a later one, has left.
     #[must_use]
-    pub fn include(&self, process: &Process) -> bool {
+    pub fn contains(&self, process: &Process) -> bool {
         self.0
             .get(&process.name)
             .is_some_and(|gone| gone.incarnation >= process.incarnation)
@@ -46,7 +46,7 @@
             version,
         };
         self.0.insert(process.name.clone(), departure);
-        if self.0.len() > KEPT {
+        if self.0.len() > MAX_DEPARTURES {
             self.forget_longest_gone();
         }
     }
--- a/crates/cassiarock-rule/src/membership/history.rs
+++ b/crates/cassiarock-rule/src/membership/history.rs
@@ -10,12 +10,12 @@
 /// How long a change is remembered. Jobs are remembered for 15 minutes by default, and a
 /// gather must reach the members of all views in a job's life; the rest covers clocks and
 /// late records.
-const KEPT: Duration = Duration::from_secs(20 * 60);
+const CHANGE_RETENTION: Duration = Duration::from_secs(20 * 60);
 
 /// How many changes are remembered at most. At the target size 210 replacements a day
 /// make 600 changes; a rolling restart of 2,900 agents within an hour makes 2,000 in the
 /// time kept.
-const MOST: usize = 2048;
+const MAX_CHANGES: usize = 2048;
 
 /// One change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -75,7 +75,7 @@
 
     /// Whether all views above `version` are remembered.
     #[must_use]
-    pub const fn is_whole_since(&self, version: u64) -> bool {
+    pub const fn is_complete_since(&self, version: u64) -> bool {
         version >= self.forgotten
     }
 
@@ -89,9 +89,9 @@
     /// A record of this time is folded in.
     pub(super) fn advance(&mut self, at: Wall) {
         self.latest = self.latest.max(at);
-        let oldest = self.latest.minus(KEPT);
+        let oldest = self.latest.minus(CHANGE_RETENTION);
         while let Some(first) = self.changes.front() {
-            if first.at >= oldest && self.changes.len() <= MOST {
+            if first.at >= oldest && self.changes.len() <= MAX_CHANGES {
                 return;
             }
             // A clock that was behind must not make the views before it seem known.
--- a/crates/cassiarock-rule/src/membership/mod.rs
+++ b/crates/cassiarock-rule/src/membership/mod.rs
@@ -5,7 +5,7 @@
 mod member;
 mod removal;
 
-pub use departure::{Departures, KEPT};
+pub use departure::{Departures, MAX_DEPARTURES};
 pub use history::{History, PastView};
 pub use member::Member;
 pub use removal::Removals;
@@ -58,7 +58,7 @@
     /// ```
     #[must_use]
     pub fn standing(&self, process: &Process) -> Standing {
-        if self.departures.include(process) {
+        if self.departures.contains(process) {
             return Standing::Departed;
         }
         match self.members.get(&process.name) {
@@ -96,7 +96,7 @@
             Standing::Departed | Standing::Absent => return Effect::Ignored,
         }
         if let Remover::Other(at) = by
-            && let Err(reason) = self.removals.admit(at, self.members.len())
+            && let Err(reason) = self.removals.try_record(at, self.members.len())
         {
             return Effect::Rejected(reason);
         }
@@ -145,9 +145,14 @@
     }
 
     /// An agent is to leave, or to stay after all.
-    pub(crate) fn drain(&mut self, version: u64, order: &Order, bounds: &Configuration) -> Effect {
+    pub(crate) fn drain(
+        &mut self,
+        version: u64,
+        order: &DrainOrder,
+        bounds: &Configuration,
+    ) -> Effect {
         let Some(member) = self.members.get(order.agent) else {
-            return Effect::Rejected(Reason::Unknown(order.agent.clone()));
+            return Effect::Rejected(Reason::UnknownAgent(order.agent.clone()));
         };
         if order
             .incarnation
@@ -172,7 +177,7 @@
     /// Two operators that each drain a rack, or a script that drains too much, must not empty
     /// a pool: all callers would wait. The bound is part of the fold, because a check before
     /// the append is out of date once another order came first. At least one agent may leave.
-    fn bound(&self, member: &Member, order: &Order, bounds: &Configuration) -> Option<Reason> {
+    fn bound(&self, member: &Member, order: &DrainOrder, bounds: &Configuration) -> Option<Reason> {
         if order.force || !order.leaving {
             return None;
         }
@@ -186,7 +191,7 @@
             (members + 1, leaving + usize::from(peer.leaving))
         });
         let allowed = members * usize::try_from(percent).unwrap_or(usize::MAX) / 100;
-        (leaving > allowed.max(1)).then(|| Reason::Bounded {
+        (leaving > allowed.max(1)).then(|| Reason::DrainLimit {
             pool: member.pool.clone(),
             leaving,
             members,
@@ -195,7 +200,7 @@
 }
 
 /// An order to an agent to leave or to stay.
-pub(crate) struct Order<'a> {
+pub(crate) struct DrainOrder<'a> {
     pub agent: &'a Name,
     pub incarnation: Option<u64>,
     pub leaving: bool,
--- a/crates/cassiarock-rule/src/membership/removal.rs
+++ b/crates/cassiarock-rule/src/membership/removal.rs
@@ -24,13 +24,13 @@
 
 impl Removals {
     /// Notes a removal at `at` from so many members, if it is within the bound.
-    pub(super) fn admit(&mut self, at: Wall, members: usize) -> Result<(), Reason> {
+    pub(super) fn try_record(&mut self, at: Wall, members: usize) -> Result<(), Reason> {
         let from = at.minus(WINDOW);
         self.0.retain(|earlier| *earlier >= from);
         let removed = self.0.len();
         let allowed = (members + removed) * PERCENT / 100;
         if removed >= allowed.max(1) {
-            return Err(Reason::Removals { removed, members });
+            return Err(Reason::RemovalLimit { removed, members });
         }
         self.0.push_back(at);
         Ok(())
--- a/crates/cassiarock-rule/src/request.rs
+++ b/crates/cassiarock-rule/src/request.rs
@@ -50,7 +50,7 @@
     /// The caller's team.
     pub team: Name,
     /// The number of tasks.
-    pub tasks: u32,
+    pub task_count: u32,
     /// What each task declares.
     pub need: Resources,
     /// The data centre in which it arrived.
@@ -75,7 +75,7 @@
         Self {
             kind: kind.into(),
             team: "".into(),
-            tasks: 1,
+            task_count: 1,
             need: Resources::default(),
             data_centre: "".into(),
             at: Wall::default(),
@@ -95,8 +95,8 @@
 
     /// The same with so many tasks.
     #[must_use]
-    pub fn with_tasks(self, tasks: u32) -> Self {
-        Self { tasks, ..self }
+    pub fn with_task_count(self, task_count: u32) -> Self {
+        Self { task_count, ..self }
     }
 
     /// The same with declared needs.
--- a/crates/cassiarock-rule/src/snapshot.rs
+++ b/crates/cassiarock-rule/src/snapshot.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether to append a snapshot of `state` now, which must be known to the end of the log.
-    /// Call it at least once a second while the log answers, and `pause` when it does not.
+    /// Call it at least once a second while the log answers, and `reset` when it does not.
     ///
     /// ```
     /// use cassiarock_id::Wall;
@@ -63,7 +63,7 @@
     }
 
     /// Forgets how long a snapshot was due: after an outage all processes draw anew.
-    pub fn pause(&mut self) {
+    pub fn reset(&mut self) {
         self.due_since = None;
     }
 
--- a/crates/cassiarock-rule/src/source.rs
+++ b/crates/cassiarock-rule/src/source.rs
@@ -10,16 +10,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The text is not JSON with comments.
-    #[error("line {line}: {what}")]
+    #[error("line {line}: {message}")]
     Syntax {
         /// The line.
         line: usize,
         /// What the parser met.
-        what: String,
+        message: String,
     },
     /// The text holds something other than a list of rules in `[` and `]`.
     #[error("the file is not a list of rules")]
-    Form,
+    NotAList,
     /// An element of the list is no rule.
     #[error("line {line}: rule at {position}: {source}")]
     Rule {
@@ -54,10 +54,10 @@
         jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default())
             .map_err(|error| Error::Syntax {
                 line: error.line_display(),
-                what: error.kind().to_string(),
+                message: error.kind().to_string(),
             })?;
     let Some(Value::Array(list)) = parsed.value else {
-        return Err(Error::Form);
+        return Err(Error::NotAList);
     };
     let mut lines = Vec::new();
     let mut rules = Vec::new();
--- a/crates/cassiarock-rule/src/state.rs
+++ b/crates/cassiarock-rule/src/state.rs
@@ -1,7 +1,7 @@
 //! The state folded from the records, the same in every process at the same offset.
 
 use crate::effect::{Effect, Reason};
-use crate::membership::{History, Order, Remover};
+use crate::membership::{DrainOrder, History, Remover};
 use crate::record::{Body, Id};
 use crate::{Configuration, Edit, Membership, Record, RuleSet};
 use cassiarock_id::{Name, Wall};
@@ -91,7 +91,7 @@
                 leaving,
                 force,
             } => {
-                let order = Order {
+                let order = DrainOrder {
                     agent,
                     incarnation: *incarnation,
                     leaving: *leaving,
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    fn drain(&mut self, at: Wall, order: &Order) -> Effect {
+    fn drain(&mut self, at: Wall, order: &DrainOrder) -> Effect {
         let version = self.next;
         let configuration = Arc::clone(&self.configuration);
         self.members(at).drain(version, order, &configuration)
--- a/crates/cassiarock-rule/tests/decide.rs
+++ b/crates/cassiarock-rule/tests/decide.rs
@@ -17,7 +17,7 @@
 fn morning() -> Request {
     Request::new("seat-check")
         .with_team("andes")
-        .with_tasks(12)
+        .with_task_count(12)
         .with_need(Resources {
             cores: 2,
             memory: 512,
--- a/crates/cassiarock-rule/tests/explanation.rs
+++ b/crates/cassiarock-rule/tests/explanation.rs
@@ -17,7 +17,7 @@
     };
     Request::new("report")
         .with_team("desk")
-        .with_tasks(40)
+        .with_task_count(40)
         .with_need(need)
         .with_data_centre("andes-1")
         .with_time(Wall::from_millis(7 * 3_600_000))
--- a/crates/cassiarock-rule/tests/fold.rs
+++ b/crates/cassiarock-rule/tests/fold.rs
@@ -47,13 +47,13 @@
     for reader in 0..READERS {
         model.read(reader, usize::MAX >> 1);
         let fold = &model.readers[reader];
-        prop_assert!(fold.searches() || fold.state() == Some(&state));
+        prop_assert!(fold.is_searching() || fold.state() == Some(&state));
     }
     model.append(Body::Snapshot { state });
     let last = model.truth[model.records.len()].clone();
     for reader in 0..READERS {
         model.read(reader, usize::MAX >> 1);
-        prop_assert!(!model.readers[reader].searches());
+        prop_assert!(!model.readers[reader].is_searching());
         prop_assert_eq!(model.readers[reader].state(), Some(&last));
     }
     Ok(())
@@ -81,7 +81,7 @@
     let model = stalled_snapshot();
     let mut fold = Fold::new(model.earliest);
     fold.push(2, model.records[2].clone());
-    assert!(fold.searches());
+    assert!(fold.is_searching());
     assert_eq!(fold.state(), None);
 }
 
@@ -150,10 +150,10 @@
     model.read(1, 1);
     model.step(&Event::Cut(2));
     model.read(0, 1);
-    assert!(model.readers[0].searches());
+    assert!(model.readers[0].is_searching());
     assert_eq!(model.readers[0].state(), Some(&model.truth[1]));
     model.step(&Event::Tell(1, 0));
-    assert!(!model.readers[0].searches());
+    assert!(!model.readers[0].is_searching());
     assert_eq!(model.readers[0].state(), Some(&model.truth[2]));
 }
 
@@ -162,7 +162,7 @@
 #[test]
 fn a_reader_that_never_read_anything_does_not_keep_the_empty_state() {
     let mut fold = Fold::new(0);
-    fold.begin_at(5);
+    fold.set_log_start(5);
     assert_eq!(fold.state(), None);
 }
 
--- a/crates/cassiarock-rule/tests/model/mod.rs
+++ b/crates/cassiarock-rule/tests/model/mod.rs
@@ -126,9 +126,9 @@
     /// Lets a reader read up to `count` records, beginning at the cut if it was overtaken.
     pub fn read(&mut self, reader: usize, count: usize) {
         let fold = &mut self.readers[reader];
-        fold.begin_at(self.earliest);
+        fold.set_log_start(self.earliest);
         for _ in 0..count {
-            let offset = fold.next();
+            let offset = fold.next_offset();
             let Some(record) = self
                 .records
                 .get(usize::try_from(offset).expect("an offset of a small log"))
--- a/crates/cassiarock-rule/tests/snapshot.rs
+++ b/crates/cassiarock-rule/tests/snapshot.rs
@@ -50,7 +50,7 @@
         let (state, now) = (&self.state, self.now);
         let due = |schedule: &mut Schedule| {
             if !up {
-                schedule.pause();
+                schedule.reset();
             }
             up && schedule.is_due(state, now)
         };
--- a/crates/cassiarock-rule/tests/state.rs
+++ b/crates/cassiarock-rule/tests/state.rs
@@ -132,7 +132,7 @@
     let effect = state.apply(4, &drain("b", false));
     assert!(matches!(
         effect,
-        Effect::Rejected(Reason::Bounded {
+        Effect::Rejected(Reason::DrainLimit {
             leaving: 2,
             members: 3,
             ..
@@ -181,7 +181,7 @@
     assert_eq!(effects[1], Effect::Accepted);
     let history = &state.membership.history;
     assert_eq!(history.known_since(), at);
-    assert!(!history.is_whole_since(1) && history.is_whole_since(2));
+    assert!(!history.is_complete_since(1) && history.is_complete_since(2));
 }
 
 // A member runs a job, dies and is removed. An entry that starts then knows only the
