--- a/crates/cassiarock-rule/src/action.rs
+++ b/crates/cassiarock-rule/src/action.rs
@@ -1,11 +1,11 @@
-//! What a rule does with the requests that it decides.
+//! The action that a rule applies to the requests that it matches.
 
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 use std::time::Duration;
 
-/// The pool of agents that name no other, and of requests that no rule matches.
+/// The pool of agents that are assigned to no other, and of requests that no rule matches.
 pub const DEFAULT_POOL: &str = "default";
 
 /// The action of a rule.
@@ -14,39 +14,40 @@
 pub enum Action {
     /// Run the request.
     Run(Run),
-    /// Refuse it before anything of it starts.
+    /// Refuse the request before any of its tasks starts.
     Refuse {
-        /// What the caller is told.
+        /// The reason that is sent to the caller.
         reason: Name,
     },
 }
 
-/// Where and under which limits a request runs.
+/// The pool in which a request runs, and its limits.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Run {
-    /// The pool of agents.
+    /// The pool whose agents run the tasks.
     pub pool: Name,
-    /// How long after its arrival the whole answer is still of use.
+    /// The time from arrival within which the whole request must be finished.
     #[serde(rename = "deadline_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub deadline: Duration,
-    /// How many tasks decided by this rule may wait at one entry; more are refused.
+    /// The maximum number of tasks under this rule that may wait at one entry; more are refused.
     pub queue: u32,
-    /// How many tasks decided by this rule may run at once from one entry; no limit if absent.
+    /// The maximum number of tasks under this rule that one entry may have running at once; no
+    /// limit if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
-    /// Retries in percent of the first attempts.
+    /// The maximum number of retries, in percent of the first attempts.
     pub retry_percent: u32,
-    /// Higher goes first where both wait.
+    /// Of waiting tasks, those with a higher priority start first.
     pub priority: u8,
 }
 
 impl Default for Run {
-    /// Limits for a first start: a deadline of 30 s, which is far above the few seconds of the
-    /// longest tasks; a queue of 4,096 tasks, a few whole jobs; retries of 10%, which cannot
-    /// double a load.
+    /// Limits that work without any published rules: a deadline of 30 s, far above the few
+    /// seconds of the longest tasks; a queue of 4,096 tasks, which holds a few whole jobs; and
+    /// retries of 10%, which cannot double the load.
     fn default() -> Self {
         Self {
             pool: DEFAULT_POOL.into(),
@@ -73,19 +74,19 @@
         }
     }
 
-    /// The same with another deadline.
+    /// Replaces the deadline.
     #[must_use]
     pub fn with_deadline(self, deadline: Duration) -> Self {
         Self { deadline, ..self }
     }
 
-    /// The same with another queue limit, in tasks per entry.
+    /// Replaces the queue limit, in tasks per entry.
     #[must_use]
     pub fn with_queue(self, queue: u32) -> Self {
         Self { queue, ..self }
     }
 
-    /// The same with another priority.
+    /// Replaces the priority.
     #[must_use]
     pub fn with_priority(self, priority: u8) -> Self {
         Self { priority, ..self }
--- a/crates/cassiarock-rule/src/configuration.rs
+++ b/crates/cassiarock-rule/src/configuration.rs
@@ -1,20 +1,20 @@
-//! The published configuration: pools and quotas.
+//! The published configuration of pools and quotas.
 
 use crate::action::DEFAULT_POOL;
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A named share of the agents.
+/// The settings of a named pool of agents.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Pool {
-    /// The largest share of its agents, in percent, that may be leaving at once by order.
+    /// The maximum share of its agents, in percent, that operators may drain at once.
     pub leaving_percent: u32,
 }
 
 impl Default for Pool {
-    /// A third of the pool, one rack or data centre of three.
+    /// Lets a third of the pool leave at once, one rack or data centre of three.
     fn default() -> Self {
         Self {
             leaving_percent: 34,
@@ -22,11 +22,11 @@
     }
 }
 
-/// What a team may use.
+/// The quota of a team.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Quota {
-    /// Slots in use at once over all pools.
+    /// The maximum number of slots in use at once, over all pools.
     pub slots: u32,
 }
 
--- a/crates/cassiarock-rule/src/decision.rs
+++ b/crates/cassiarock-rule/src/decision.rs
@@ -1,4 +1,4 @@
-//! What was decided for a request, and by which rule.
+//! The decision of a rule set on one request.
 
 use crate::Action;
 use cassiarock_id::Name;
@@ -9,9 +9,9 @@
 pub struct Decision {
     /// The deciding rule, or `default` where none matched.
     pub rule: Name,
-    /// Its place in the order, from 0; the number of rules where none matched.
+    /// Its index in the rule set, from 0; the number of rules where none matched.
     pub position: usize,
-    /// What to do.
+    /// The action of that rule, or running under the default limits where none matched.
     pub action: Action,
 }
 
--- a/crates/cassiarock-rule/src/edit.rs
+++ b/crates/cassiarock-rule/src/edit.rs
@@ -1,59 +1,60 @@
-//! Changes to the ordered rules.
+//! Edits of the ordered rules.
 
 use crate::{Rule, RuleSet};
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 
-/// One change to a set. Records carry edits rather than sets: at 3,600 changes a day every
-/// process reads some hundred bytes per change instead of the whole set.
+/// One change to a rule set. Records carry edits instead of whole sets: at 3,600 changes a day
+/// every process then reads a few hundred bytes per change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
-    /// Put a new rule at a position; what stood there and after moves back by one.
+    /// Insert a new rule at an index; the rules from there on move back by one.
     Insert {
-        /// The place, from 0 to the number of rules.
+        /// The index, from 0 to the number of rules.
         at: usize,
         /// The new rule.
         rule: Rule,
     },
-    /// Take a rule out and put it back so that it stands at a position.
+    /// Move a rule to an index.
     Move {
-        /// The rule.
+        /// The name of the rule.
         name: Name,
-        /// Its new place.
+        /// Its index after the move.
         to: usize,
     },
-    /// Take a rule out.
+    /// Delete a rule.
     Delete {
-        /// The rule.
+        /// The name of the rule.
         name: Name,
     },
-    /// Put another rule in the place of the one with the same name.
+    /// Replace the rule of the same name at its index.
     Replace {
         /// The new rule.
         rule: Rule,
     },
-    /// Put a whole set in place of all rules.
+    /// Replace all rules by a new set.
     Publish {
         /// The new set.
         set: RuleSet,
     },
 }
 
-/// Why an edit does not fit the set.
+/// Why an edit cannot be applied to the rule set.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, thiserror::Error)]
 pub enum Error {
-    /// No rule has this name; look at the current order and name one of its rules.
+    /// No rule has this name; name one of the current rules.
     #[error("no rule is named {0}")]
     Unknown(Name),
-    /// The name is taken; replace that rule, or choose another name.
+    /// A rule of this name exists; replace that rule, or choose another name.
     #[error("a rule named {0} exists already")]
     Taken(Name),
-    /// The position lies beyond the end; give one from 0 to the number of rules.
+    /// The index is out of range: an insert accepts 0 to the number of rules, a move must stay
+    /// below it.
     #[error("position {at} is beyond the {length} rules")]
     #[serde(rename = "Beyond")]
     OutOfRange {
-        /// The asked position.
+        /// The given index.
         at: usize,
         /// The number of rules.
         length: usize,
@@ -61,7 +62,7 @@
 }
 
 impl Edit {
-    /// Carries it out.
+    /// Applies the edit to `set`.
     ///
     /// ```
     /// use cassiarock_rule::{Action, Edit, Rule, RuleSet, action::Run};
@@ -74,11 +75,11 @@
     /// ```
     ///
     /// # Errors
-    /// If it does not fit; the set is then unchanged.
+    /// If the edit cannot be applied; the set is then unchanged.
     pub fn apply(&self, set: &mut RuleSet) -> Result<(), Error> {
         match self {
             Self::Insert { at, rule } => insert(set, *at, rule),
-            Self::Move { name, to } => shift(set, name, *to),
+            Self::Move { name, to } => move_rule(set, name, *to),
             Self::Delete { name } => find(set, name).map(|at| drop(set.rules.remove(at))),
             Self::Replace { rule } => replace(set, rule),
             Self::Publish { set: new } => {
@@ -101,7 +102,7 @@
     Ok(())
 }
 
-fn shift(set: &mut RuleSet, name: &Name, to: usize) -> Result<(), Error> {
+fn move_rule(set: &mut RuleSet, name: &Name, to: usize) -> Result<(), Error> {
     let at = find(set, name)?;
     let length = set.rules.len();
     if to >= length {
--- a/crates/cassiarock-rule/src/fold.rs
+++ b/crates/cassiarock-rule/src/fold.rs
@@ -1,37 +1,40 @@
-//! Folding a log that may have lost its beginning.
+//! Folding a log whose oldest records may have been deleted by retention.
 
 use crate::record::Body;
 use crate::{Effect, Record, State};
 use std::collections::VecDeque;
 
-/// How many records are kept while no base is found. Passing it only makes the search
-/// stricter, since the search then counts as begun later.
+/// The maximum number of records that are buffered until a base state is found. Beyond it the
+/// oldest are dropped, and only snapshots that cover the dropped ones are accepted.
 const MAX_BUFFERED_RECORDS: usize = 16_384;
 
-/// A reader's fold. It starts from the empty state only at offset 0. Anywhere else it needs a
-/// base, and the rule is: **a snapshot counts only if this reader has seen every record since
-/// the offset that the snapshot covers.** A stalled process that wakes up and appends an old
-/// snapshot, long after its own check that the snapshot was new, thereby reverts nobody: a
-/// reader that has its state ignores snapshots, and one without knows from the gap between
-/// what the snapshot covers and the first record it has seen that changes are missing.
+/// A reader's fold over the log.
+///
+/// It starts from the empty state only at offset 0. At any other offset it needs a base state,
+/// and **accepts a snapshot as base only if it has read every record from the offset that the
+/// snapshot covers on.** A stalled process may append an old snapshot long after it checked that
+/// the snapshot was new. This reverts no reader: one that has a state ignores snapshots, and one
+/// without sees from the gap between the end of the snapshot and the first record it read that
+/// changes are missing.
 #[derive(Clone, Debug)]
 pub struct Fold {
     state: Option<State>,
     search: Option<Search>,
 }
 
-/// The search for a base.
+/// The records read so far without a base state.
 #[derive(Clone, Debug)]
 struct Search {
-    /// The offset of the first record seen.
+    /// The offset of the first buffered record.
     first: u64,
-    /// The offset of the next record to see.
+    /// The offset of the next record to read.
     next: u64,
     records: VecDeque<(u64, Option<Record>)>,
 }
 
 impl Fold {
-    /// A fold that reads from `first`: with the empty state at 0, else in search of a base.
+    /// Creates a fold that reads from `first`. At 0 it starts from the empty state, otherwise it
+    /// searches for a base state.
     ///
     /// ```
     /// use cassiarock_rule::Fold;
@@ -49,7 +52,7 @@
         }
     }
 
-    /// A fold that goes on from a state learned elsewhere.
+    /// Creates a fold that continues from a state obtained elsewhere.
     #[must_use]
     pub fn with_state(state: State) -> Self {
         Self {
@@ -58,13 +61,15 @@
         }
     }
 
-    /// The newest state known, if any. During a search it may lag behind the log.
+    /// The newest known state, if any. While a base state is searched for it may lag behind the
+    /// log.
     #[must_use]
     pub fn state(&self) -> Option<&State> {
         self.state.as_ref()
     }
 
-    /// Whether records are missing between the state and what was read.
+    /// Whether records are missing between the state and the records read, so that a base state
+    /// is searched for.
     #[must_use]
     pub fn is_searching(&self) -> bool {
         self.search.is_some()
@@ -80,10 +85,10 @@
         }
     }
 
-    /// Takes note that the log begins at `earliest`. If records were cut unread, a base is
-    /// searched from there. The state is kept meanwhile, but for the empty one: a process that
-    /// starts while the log is being cut must not take itself to know that nothing was ever
-    /// published.
+    /// Records that the log now starts at `earliest`. If records were deleted before they were
+    /// read, a search for a base state starts there. Meanwhile the state is kept, except for the
+    /// empty one: a process that starts while the log is being truncated must not conclude that
+    /// nothing was ever published.
     pub fn set_log_start(&mut self, earliest: u64) {
         if earliest <= self.next_offset() {
             return;
@@ -92,9 +97,9 @@
         self.state.take_if(|state| state.next == 0);
     }
 
-    /// Takes the record at `offset`; `None` for one that this release cannot read. An offset
-    /// above the next one means that records were cut unread, see [`Self::set_log_start`]. Gives
-    /// `None` while a base is searched.
+    /// Applies the record at `offset`; `None` for one that this release cannot read. An offset
+    /// above the next one means that records were deleted before they were read, see [`Self::set_log_start`]. Returns
+    /// `None` while a base state is searched for.
     pub fn push(&mut self, offset: u64, record: Option<Record>) -> Option<Effect> {
         if offset < self.next_offset() {
             return Some(Effect::Ignored);
@@ -103,7 +108,7 @@
         match (&mut self.search, &mut self.state) {
             (Some(search), _) => {
                 search.push(offset, record);
-                self.settle(offset)
+                self.finish_search(offset)
             }
             (None, state) => Some(apply(
                 state.get_or_insert_default(),
@@ -113,8 +118,8 @@
         }
     }
 
-    /// Takes the state of another process if it is newer; tells whether it was. It ends a
-    /// search if nothing is missing between it and the records seen.
+    /// Takes over the state of another process if it is newer, and returns whether it was. This
+    /// ends a search if no record is missing between that state and the buffered records.
     pub fn offer(&mut self, offered: State) -> bool {
         if self
             .state
@@ -135,15 +140,15 @@
         true
     }
 
-    /// Looks whether the record just taken gives a base.
-    fn settle(&mut self, offset: u64) -> Option<Effect> {
+    /// Ends the search if the last record provides a base state.
+    fn finish_search(&mut self, offset: u64) -> Option<Effect> {
         let search = self.search.as_ref()?;
         let base = search.base(offset)?;
         self.adopt(base);
         Some(Effect::Ignored)
     }
 
-    /// Goes on from `base` over the records already seen.
+    /// Takes `base` as the state and applies the buffered records to it.
     fn adopt(&mut self, mut base: State) {
         let records = self.search.take().map(|search| search.records);
         for (offset, record) in records.unwrap_or_default() {
@@ -173,7 +178,7 @@
         }
     }
 
-    /// The base that the last record gives, if it gives one.
+    /// The base state that the last record provides, if any.
     fn base(&self, offset: u64) -> Option<State> {
         let (_, record) = self.records.back()?;
         let record = record.as_ref()?;
--- a/crates/cassiarock-rule/src/lib.rs
+++ b/crates/cassiarock-rule/src/lib.rs
@@ -1,4 +1,5 @@
-//! Rule, configuration and membership records, their checks and the fold over the log.
+//! Rules, configuration and membership: their log records, the validation of rule sets, and the
+//! state folded from the log.
 
 pub mod action;
 pub mod check;
--- a/crates/cassiarock-rule/src/membership/history.rs
+++ b/crates/cassiarock-rule/src/membership/history.rs
@@ -1,4 +1,4 @@
-//! The changes of the membership of late, for those who must know earlier ones.
+//! Recent membership changes, from which earlier views are reconstructed.
 
 use cassiarock_id::{Name, Process, Wall};
 use serde::{Deserialize, Serialize};
@@ -7,17 +7,17 @@
 
 use super::Member;
 
-/// How long a change is remembered. Jobs are remembered for 15 minutes by default, and a
-/// gather must reach the members of all views in a job's life; the rest covers clocks and
-/// late records.
+/// How long a change is remembered. Jobs are remembered for 15 minutes by default, and a gather
+/// must reach the members of all views within the lifetime of a job; the other 5 minutes cover
+/// clock skew and late records.
 const CHANGE_RETENTION: Duration = Duration::from_secs(20 * 60);
 
-/// How many changes are remembered at most. At the target size 210 replacements a day
-/// make 600 changes; a rolling restart of 2,900 agents within an hour makes 2,000 in the
-/// time kept.
+/// The maximum number of remembered changes. At the target size 210 replacements a day make 600
+/// changes; a rolling restart of 2,900 agents within an hour makes 2,000 within the retention
+/// time.
 const MAX_CHANGES: usize = 2048;
 
-/// One change.
+/// One membership change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Change {
     version: u64,
@@ -33,22 +33,22 @@
 /// The members at one version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PastView {
-    /// The version.
+    /// The membership version.
     pub version: u64,
     /// Its members.
     pub members: Vec<Process>,
-    /// Who had handed over all it knew when this version began.
+    /// The process that had handed over its state when this version began.
     pub retired: Option<Process>,
-    /// Who joined with this version, and the time of that or a later one.
+    /// The process that joined with this version, and the time of the join or a later one.
     pub joined: Option<(Process, Wall)>,
 }
 
-/// The changes of late, the oldest first.
+/// Recent membership changes, the oldest first.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct History {
-    /// The latest time of a record.
+    /// The latest time of any applied record.
     latest: Wall,
-    /// All views in force at this time or later can be told.
+    /// All views in force at this time or later can be reconstructed.
     known_since: Wall,
     /// The version of the last change that was forgotten.
     forgotten: u64,
@@ -56,8 +56,8 @@
 }
 
 impl History {
-    /// A history that begins with a restore of this version and time: nobody knows what was
-    /// before, so no job of before may be taken for new.
+    /// Creates a history that begins with a restore at this version and time. What happened
+    /// before is unknown, so no earlier job may be treated as new.
     pub(crate) fn with_beginning(version: u64, at: Wall) -> Self {
         Self {
             latest: at,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// From when on all views can be told.
+    /// The time from which on all views can be reconstructed.
     #[must_use]
     pub const fn known_since(&self) -> Wall {
         self.known_since
@@ -79,14 +79,14 @@
         version >= self.forgotten
     }
 
-    /// Whether `process` is known to have handed over before it went.
+    /// Whether `process` is known to have handed over its state before it departed.
     #[must_use]
     pub fn is_retired(&self, process: &Process) -> bool {
         let mut changes = self.changes.iter();
         changes.any(|change| change.retired.as_ref() == Some(process))
     }
 
-    /// A record of this time is folded in.
+    /// Advances the time to that of an applied record, and drops expired changes.
     pub(super) fn advance(&mut self, at: Wall) {
         self.latest = self.latest.max(at);
         let oldest = self.latest.minus(CHANGE_RETENTION);
@@ -94,7 +94,7 @@
             if first.at >= oldest && self.changes.len() <= MAX_CHANGES {
                 return;
             }
-            // A clock that was behind must not make the views before it seem known.
+            // A record from a slow clock must not make the views before it seem known.
             self.known_since = self.known_since.max(first.at);
             self.forgotten = first.version;
             self.changes.pop_front();
@@ -135,7 +135,7 @@
         });
     }
 
-    /// All views above `after`, the oldest first, given the members of the latest one.
+    /// All views above `after`, the oldest first, reconstructed from the current members.
     pub(super) fn views(&self, after: u64, members: &BTreeMap<Name, Member>) -> Vec<PastView> {
         let present = members.values().map(|member| member.process.clone());
         let mut members: Vec<Process> = present.collect();
@@ -151,8 +151,8 @@
             members.retain(|member| Some(member) != change.joined.as_ref());
             members.extend(change.left.clone());
         }
-        // Jobs issued since this history is known may have lived in the view before the
-        // first change that it remembers, and have run at a member that this one removed.
+        // A job may have been active in the view before the first remembered change, and have
+        // run at a member that this change removed.
         if after < self.forgotten {
             views.push(PastView {
                 version: self.forgotten,
--- a/crates/cassiarock-rule/src/membership/member.rs
+++ b/crates/cassiarock-rule/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One agent.
+//! The announced data of an agent.
 
 use crate::action::DEFAULT_POOL;
 use crate::request::Resources;
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What others must know of an agent.
+/// An agent as it announced itself to the other processes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
-    /// Its name and present life.
+    /// Its name and current incarnation.
     pub process: Process,
-    /// Where it listens for other processes.
+    /// The address at which it accepts connections of other processes.
     pub address: SocketAddr,
-    /// Where it serves its status and metrics, if it announced that.
+    /// The address at which it serves status and metrics, if announced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<SocketAddr>,
     /// Its data centre.
@@ -22,20 +22,22 @@
     pub rack: Name,
     /// Its pool.
     pub pool: Name,
-    /// How many tasks its upstream runs at once.
+    /// The number of tasks that its upstream runs at once.
     pub slots: u32,
-    /// How many connections its upstream takes.
+    /// The maximum number of connections to its upstream.
     pub connections: u32,
-    /// What its upstream has, if it announced that: a task that needs more can never run there.
+    /// The total resources of its upstream, if announced; a task that needs more can never run
+    /// there.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub has: Option<Resources>,
-    /// Whether it gets no new work.
+    /// Whether it is draining and gets no new work.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
 }
 
 impl Member {
-    /// An agent of the default pool with one slot and one connection, in an unnamed place.
+    /// Creates an agent of the default pool with one slot and one connection, without data centre
+    /// and rack.
     ///
     /// ```
     /// use cassiarock_id::Process;
@@ -60,7 +62,7 @@
         }
     }
 
-    /// The same with its status and metrics served at `status`.
+    /// Sets the address at which status and metrics are served.
     #[must_use]
     pub fn with_status(self, status: SocketAddr) -> Self {
         Self {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The same before an upstream that has so much.
+    /// Sets the total resources of its upstream.
     #[must_use]
     pub fn with_resources(self, has: Resources) -> Self {
         Self {
@@ -78,7 +80,7 @@
         }
     }
 
-    /// The same in this place.
+    /// Sets data centre and rack.
     #[must_use]
     pub fn with_place(self, data_centre: impl Into<Name>, rack: impl Into<Name>) -> Self {
         Self {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The same in another pool.
+    /// Sets the pool.
     #[must_use]
     pub fn with_pool(self, pool: impl Into<Name>) -> Self {
         Self {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The same with so many slots and connections.
+    /// Sets the number of slots and connections.
     #[must_use]
     pub fn with_capacity(self, slots: u32, connections: u32) -> Self {
         Self {
--- a/crates/cassiarock-rule/src/membership/mod.rs
+++ b/crates/cassiarock-rule/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! The agents, as folded from their announcements.
+//! The membership of agents, folded from their announcements.
 
 mod departure;
 mod history;
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What the membership says of one process.
+/// The standing of one process in the membership.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
     /// A member that gets work.
@@ -24,31 +24,31 @@
     /// A member that gets no new work.
     Leaving,
     /// It has left, was removed, or was replaced by a later incarnation. It must not act any
-    /// more; it comes back only as a new incarnation.
+    /// more, and can rejoin only as a new incarnation.
     Departed,
-    /// Nothing is known of it: it has not announced itself, or must do so again.
+    /// It is not known: it has not announced itself, or must do so again.
     Absent,
 }
 
-/// All agents at one version.
+/// The agents at one membership version.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Membership {
     /// One more than the offset of the last record that changed it; 0 before the first.
     pub version: u64,
     /// The agents by name.
     pub members: BTreeMap<Name, Member>,
-    /// Those that have gone.
+    /// The processes that have departed.
     pub departures: Departures,
-    /// Those that others removed of late.
+    /// Recent removals by other processes.
     #[serde(default)]
     pub removals: Removals,
-    /// Its changes of late.
+    /// Recent changes.
     #[serde(default)]
     pub history: History,
 }
 
 impl Membership {
-    /// What it says of `process`.
+    /// The standing of `process`.
     ///
     /// ```
     /// use cassiarock_id::Process;
@@ -70,13 +70,13 @@
         }
     }
 
-    /// An agent announces itself; a later incarnation takes the place of an earlier one.
+    /// Adds an agent that announces itself; a later incarnation replaces an earlier one.
     pub(crate) fn join(&mut self, version: u64, member: &Member) -> Effect {
         match self.standing(&member.process) {
             Standing::Active | Standing::Leaving => Effect::Ignored,
-            // A join can arrive after the process was removed: appended again because its
-            // answer was lost, or by a process that was paused. Taking it would bring back an
-            // agent that nobody runs, to be given work until its removal times out again.
+            // A join can arrive after the process was removed, because it was appended again
+            // after a lost response or by a process that was paused. Accepting it would add an
+            // agent that no longer runs, and it would get work until it is removed again.
             Standing::Departed => Effect::Rejected(Reason::Departed),
             Standing::Absent => {
                 let name = member.process.name.clone();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A process has gone: by its own word, or removed by another process at the given time.
+    /// Removes a process that left by itself, or that another process removed.
     pub(crate) fn leave(&mut self, version: u64, process: &Process, by: Remover) -> Effect {
         match self.standing(process) {
             Standing::Active | Standing::Leaving => {}
@@ -104,9 +104,9 @@
         Effect::Accepted
     }
 
-    /// A process has gone after it handed all it knew over to the members at
-    /// `handed_at`. If the membership has changed since, one of those may have gone as
-    /// well: then the process has left, and must hand over again.
+    /// Removes a process that handed its state over to the members at version `handed_at`. If
+    /// the membership has changed since, one of those members may have departed as well: the
+    /// process is then removed but not retired, and must hand over again.
     pub(crate) fn hand_over(&mut self, version: u64, process: &Process, handed_at: u64) -> Effect {
         let retired = self.version == handed_at;
         match self.standing(process) {
@@ -120,7 +120,7 @@
         Effect::Accepted
     }
 
-    /// All versions above `after` that are remembered, the oldest first.
+    /// All remembered views above version `after`, the oldest first.
     ///
     /// ```
     /// use cassiarock_rule::Membership;
@@ -131,7 +131,7 @@
         self.history.views(after, &self.members)
     }
 
-    /// A record of this time is folded in.
+    /// Advances the history to the time of an applied record.
     pub(crate) fn advance(&mut self, at: Wall) -> &mut Self {
         self.history.advance(at);
         self
@@ -144,26 +144,26 @@
         self.version = version;
     }
 
-    /// An agent is to leave, or to stay after all.
+    /// Starts or cancels the draining of an agent.
     pub(crate) fn drain(
         &mut self,
         version: u64,
         order: &DrainOrder,
-        bounds: &Configuration,
+        configuration: &Configuration,
     ) -> Effect {
         let Some(member) = self.members.get(order.agent) else {
             return Effect::Rejected(Reason::UnknownAgent(order.agent.clone()));
         };
         if order
             .incarnation
-            .is_some_and(|one| one != member.process.incarnation)
+            .is_some_and(|incarnation| incarnation != member.process.incarnation)
         {
             return Effect::Rejected(Reason::Departed);
         }
         if member.leaving == order.leaving {
             return Effect::Ignored;
         }
-        if let Some(reason) = self.bound(member, order, bounds) {
+        if let Some(reason) = self.drain_limit(member, order, configuration) {
             return Effect::Rejected(reason);
         }
         if let Some(member) = self.members.get_mut(order.agent) {
@@ -174,14 +174,20 @@
         Effect::Accepted
     }
 
-    /// Two operators that each drain a rack, or a script that drains too much, must not empty
-    /// a pool: all callers would wait. The bound is part of the fold, because a check before
-    /// the append is out of date once another order came first. At least one agent may leave.
-    fn bound(&self, member: &Member, order: &DrainOrder, bounds: &Configuration) -> Option<Reason> {
+    /// The reason to reject a drain that exceeds the share of a pool that may be leaving. Two
+    /// operators that each drain a rack, or a script that drains too many agents, must not empty
+    /// a pool and make all callers wait. The limit is checked in the fold, because a check before
+    /// the append is outdated if another order comes first. At least one agent may always leave.
+    fn drain_limit(
+        &self,
+        member: &Member,
+        order: &DrainOrder,
+        configuration: &Configuration,
+    ) -> Option<Reason> {
         if order.force || !order.leaving {
             return None;
         }
-        let pool = bounds.pools.get(&member.pool);
+        let pool = configuration.pools.get(&member.pool);
         let percent = pool.map_or(Pool::default().leaving_percent, |pool| pool.leaving_percent);
         let peers = self
             .members
@@ -199,7 +205,7 @@
     }
 }
 
-/// An order to an agent to leave or to stay.
+/// An operator's order to start or cancel the draining of an agent.
 pub(crate) struct DrainOrder<'a> {
     pub agent: &'a Name,
     pub incarnation: Option<u64>,
@@ -207,7 +213,7 @@
     pub force: bool,
 }
 
-/// Who says that a process has gone.
+/// Who reported the departure of a process; another process with the time of its report.
 pub(crate) enum Remover {
     Itself,
     Other(Wall),
--- a/crates/cassiarock-rule/src/membership/removal.rs
+++ b/crates/cassiarock-rule/src/membership/removal.rs
@@ -1,4 +1,4 @@
-//! A bound on how fast agents are removed by others.
+//! A rate limit on the removal of agents by other processes.
 
 use crate::effect::Reason;
 use cassiarock_id::Wall;
@@ -6,29 +6,29 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The time in which removals are counted.
+/// The sliding window in which removals are counted.
 const WINDOW: Duration = Duration::from_secs(60);
-/// The share of the agents that may be removed in that time, in percent: one of three data
+/// The share of the agents that may be removed within the window, in percent: one of three data
 /// centres.
-const PERCENT: usize = 34;
+const MAX_REMOVED_PERCENT: usize = 34;
 
-/// When agents were removed by others, within the last minute.
+/// The times of removals by other processes within the last minute.
 ///
-/// An entry that is cut off from the agents, or has a fault in its checks, takes all of them
-/// for dead at once. Believed, it would empty the pool for everybody, and every caller would
-/// be refused, while the agents work well. If more than a third seem dead, it is more likely
-/// that the watcher is wrong; the rest is removed a minute later if it still seems so.
+/// An entry that is partitioned from the agents, or whose health checks are faulty, considers all
+/// of them dead at once. Without a limit it would empty the pool for all entries, and every
+/// caller would be refused although the agents work. If more than a third seem dead, the observer
+/// is more likely at fault; the others are removed a minute later if they still seem dead.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Removals(VecDeque<Wall>);
 
 impl Removals {
-    /// Notes a removal at `at` from so many members, if it is within the bound.
+    /// Records a removal at `at` from `members` members, if it is within the limit.
     pub(super) fn try_record(&mut self, at: Wall, members: usize) -> Result<(), Reason> {
-        let from = at.minus(WINDOW);
-        self.0.retain(|earlier| *earlier >= from);
+        let window_start = at.minus(WINDOW);
+        self.0.retain(|earlier| *earlier >= window_start);
         let removed = self.0.len();
-        let allowed = (members + removed) * PERCENT / 100;
+        let allowed = (members + removed) * MAX_REMOVED_PERCENT / 100;
         if removed >= allowed.max(1) {
             return Err(Reason::RemovalLimit { removed, members });
         }
--- a/crates/cassiarock-rule/src/source.rs
+++ b/crates/cassiarock-rule/src/source.rs
@@ -1,4 +1,4 @@
-//! Reading a rule set from the text of an operator's file: JSON with comments.
+//! Parsing a rule set from an operator's file of JSON with comments.
 
 use crate::check::{self, Problem};
 use crate::{Configuration, Rule, RuleSet};
@@ -6,7 +6,7 @@
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions};
 
-/// Why a text is no rule set to be published. Each tells the line to correct, from 1.
+/// Why a text is not a valid rule set. Lines count from 1.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The text is not JSON with comments.
@@ -14,28 +14,28 @@
     Syntax {
         /// The line.
         line: usize,
-        /// What the parser met.
+        /// The message of the parser.
         message: String,
     },
-    /// The text holds something other than a list of rules in `[` and `]`.
+    /// The text is not a list of rules in `[` and `]`.
     #[error("the file is not a list of rules")]
     NotAList,
-    /// An element of the list is no rule.
+    /// An element of the list is not a rule.
     #[error("line {line}: rule at {position}: {source}")]
     Rule {
         /// The line at which it begins.
         line: usize,
-        /// Its place in the list, from 0.
+        /// Its index in the list, from 0.
         position: usize,
-        /// What is wrong with it.
+        /// Why it cannot be deserialized.
         source: serde_json::Error,
     },
-    /// The rules can be read, but cannot be right.
+    /// The rules can be parsed but are invalid.
     #[error("{}", join(.0))]
     Problems(Vec<Problem>),
 }
 
-/// Reads the rules in `text` and checks them under `configuration`.
+/// Parses the rules in `text` and validates them against `configuration`.
 ///
 /// ```
 /// use cassiarock_rule::{Configuration, source};
@@ -48,7 +48,7 @@
 /// ```
 ///
 /// # Errors
-/// If the text is no rule set, or one that cannot be right.
+/// If the text is not a rule set, or the rule set is invalid.
 pub fn read(text: &str, configuration: &Configuration) -> Result<RuleSet, Error> {
     let parsed =
         jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default())
@@ -70,10 +70,14 @@
         })?);
         lines.push(line);
     }
-    checked(RuleSet::new(rules), &lines, configuration)
+    validate(RuleSet::new(rules), &lines, configuration)
 }
 
-fn checked(set: RuleSet, lines: &[usize], configuration: &Configuration) -> Result<RuleSet, Error> {
+fn validate(
+    set: RuleSet,
+    lines: &[usize],
+    configuration: &Configuration,
+) -> Result<RuleSet, Error> {
     let problems = check::rule_set(&set, configuration);
     if problems.is_empty() {
         return Ok(set);
--- a/crates/cassiarock-rule/src/state.rs
+++ b/crates/cassiarock-rule/src/state.rs
@@ -1,4 +1,4 @@
-//! The state folded from the records, the same in every process at the same offset.
+//! The state folded from the log records, identical in every process at the same offset.
 
 use crate::effect::{Effect, Reason};
 use crate::membership::{DrainOrder, History, Remover};
@@ -9,18 +9,18 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// How many ids of operators' records are remembered, to pass over their duplicates. At 3,600
-/// changes a day it covers more than an hour; a retried append is late by seconds.
-const REMEMBERED: usize = 256;
+/// How many ids of operators' records are remembered to detect duplicates. At 3,600 changes a
+/// day this covers more than an hour; a retried append is only seconds late.
+const MAX_RECENT_IDS: usize = 256;
 
-/// Who made the current version of rules and configuration.
+/// The origin of the current version of rules and configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// The record.
+    /// The id of the record.
     pub id: Id,
-    /// The operator.
+    /// The operator who published it.
     pub by: Name,
-    /// When, by the operator's clock.
+    /// The time of publication by the operator's clock.
     pub at: Wall,
 }
 
@@ -33,7 +33,7 @@
     /// The version of rules and configuration: one more than the offset of the record that
     /// made it; 0 before the first.
     pub version: u64,
-    /// Who made that version; nobody before the first.
+    /// The change that made that version; `None` before the first.
     pub change: Option<Change>,
     /// The rules.
     pub rules: Arc<RuleSet>,
@@ -41,9 +41,9 @@
     pub configuration: Arc<Configuration>,
     /// The agents.
     pub membership: Arc<Membership>,
-    /// The highest `next` of a snapshot on the log: records below it may be cut.
+    /// The highest `next` of any snapshot on the log: records below it may be deleted.
     pub covered: u64,
-    /// A time no later than that of the first record that no snapshot covers.
+    /// A lower bound on the time of the first record that no snapshot covers.
     pub covered_at: Wall,
     /// When the last record folded in was written, by its author's clock.
     pub at: Wall,
@@ -51,7 +51,8 @@
 }
 
 impl State {
-    /// Folds in the record at `offset`, which must be the next one; lower ones are ignored.
+    /// Applies the record at `offset`, which must be the next one; records at lower offsets are
+    /// ignored.
     ///
     /// ```
     /// use cassiarock_id::{Process, Wall};
@@ -73,13 +74,13 @@
             self.covered_at = record.at;
         }
         match &record.body {
-            Body::Rules { based_on, edits } => self.once(record, |state| {
+            Body::Rules { based_on, edits } => self.apply_once(record, |state| {
                 state.publish(record, *based_on, |state| state.edit(edits))
             }),
             Body::Configuration {
                 based_on,
                 configuration,
-            } => self.once(record, |state| {
+            } => self.apply_once(record, |state| {
                 state.publish(record, *based_on, |state| {
                     state.configuration = Arc::new(configuration.clone());
                     Ok(())
@@ -97,9 +98,9 @@
                     leaving: *leaving,
                     force: *force,
                 };
-                self.once(record, |state| state.drain(record.at, &order))
+                self.apply_once(record, |state| state.drain(record.at, &order))
             }
-            Body::Joined { member } => self.members(record.at).join(offset + 1, member),
+            Body::Joined { member } => self.membership_at(record.at).join(offset + 1, member),
             Body::Left { process } => {
                 let itself = record.by == process.name;
                 let by = if itself {
@@ -107,13 +108,13 @@
                 } else {
                     Remover::Other(record.at)
                 };
-                self.members(record.at).leave(offset + 1, process, by)
+                self.membership_at(record.at).leave(offset + 1, process, by)
             }
             Body::HandedOver { process, version } => {
-                let members = self.members(record.at);
+                let members = self.membership_at(record.at);
                 members.hand_over(offset + 1, process, *version)
             }
-            Body::Snapshot { state } => self.cover(offset, state),
+            Body::Snapshot { state } => self.record_snapshot(offset, state),
             Body::Restore {
                 end,
                 set,
@@ -122,37 +123,38 @@
         }
     }
 
-    /// Passes over the record at `offset`, which this release cannot read.
+    /// Skips the record at `offset`, which this release cannot read.
     pub fn skip(&mut self, offset: u64) {
         self.next = self.next.max(offset + 1);
     }
 
-    /// An operator's record whose answer was lost is appended again under its id. Its copy
-    /// must not count: after a later change it would be a second change, or a conflict with
-    /// the operator's own first copy.
-    fn once(&mut self, record: &Record, act: impl FnOnce(&mut Self) -> Effect) -> Effect {
+    /// Applies an operator's record unless its id was seen before. A record whose response was
+    /// lost is appended again under the same id. Applied twice it would be a second change after
+    /// a later one, or conflict with its own first copy.
+    fn apply_once(&mut self, record: &Record, apply: impl FnOnce(&mut Self) -> Effect) -> Effect {
         if self.recent.contains(&record.id) {
             return Effect::Ignored;
         }
         self.recent.push_back(record.id);
-        if self.recent.len() > REMEMBERED {
+        if self.recent.len() > MAX_RECENT_IDS {
             self.recent.pop_front();
         }
-        act(self)
+        apply(self)
     }
 
-    /// Rules and configuration share one version: a set is checked against the pools of the
-    /// version it is based on, so what goes in force together was also checked together.
+    /// Applies a change that is based on the current version. Rules and configuration share one
+    /// version: a rule set is validated against the pools of the version it is based on, so
+    /// rules and pools in force together were also validated together.
     fn publish(
         &mut self,
         record: &Record,
         based_on: u64,
-        act: impl FnOnce(&mut Self) -> Result<(), Reason>,
+        apply: impl FnOnce(&mut Self) -> Result<(), Reason>,
     ) -> Effect {
         if based_on != self.version {
             return Effect::Rejected(self.conflict(based_on));
         }
-        if let Err(reason) = act(self) {
+        if let Err(reason) = apply(self) {
             return Effect::Rejected(reason);
         }
         self.version = self.next;
@@ -160,10 +162,10 @@
         Effect::Accepted
     }
 
-    /// The rules as `edits` would make them, all or none.
+    /// The rules after `edits`; either all of them are applied or none.
     ///
     /// # Errors
-    /// If one of them does not fit.
+    /// If one of the edits cannot be applied.
     pub fn with_edits(&self, edits: &[Edit]) -> Result<RuleSet, Reason> {
         let mut set = RuleSet::clone(&self.rules);
         for (position, edit) in edits.iter().enumerate() {
@@ -181,14 +183,14 @@
     fn drain(&mut self, at: Wall, order: &DrainOrder) -> Effect {
         let version = self.next;
         let configuration = Arc::clone(&self.configuration);
-        self.members(at).drain(version, order, &configuration)
+        self.membership_at(at).drain(version, order, &configuration)
     }
 
-    /// Notes how far the log is covered. If a process stalled between taking a snapshot and
-    /// appending it, the records between are not covered, and the snapshot is as old as what
-    /// it covers, however late it came: else it would put off the next one until those
-    /// records are cut, and no new process could start.
-    fn cover(&mut self, offset: u64, snapshot: &Self) -> Effect {
+    /// Records how far a snapshot covers the log. If a process stalled between taking a snapshot
+    /// and appending it, the records in between are not covered, and the age of the snapshot is
+    /// that of its state, not of its record. Otherwise it would delay the next snapshot until
+    /// those records are deleted, and no new process could start.
+    fn record_snapshot(&mut self, offset: u64, snapshot: &Self) -> Effect {
         if snapshot.next > self.covered {
             self.covered = snapshot.next;
             let whole = snapshot.next == offset;
@@ -197,8 +199,8 @@
         Effect::Ignored
     }
 
-    /// Counts only where nothing came between the operator's look at the log and the record,
-    /// so that of racing ones, or of copies, one counts at most.
+    /// Applies a restore only if no record was appended after the operator read the end of the
+    /// log, so that at most one of several concurrent or duplicate restores takes effect.
     fn restore(
         &mut self,
         offset: u64,
@@ -214,7 +216,7 @@
         Effect::Accepted
     }
 
-    /// The state from a restore on, at which also readers without any earlier state begin.
+    /// The state right after a restore, from which readers without an earlier state start too.
     pub(crate) fn restored(
         offset: u64,
         record: &Record,
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Why a change based on `based_on`, which is not the current version, does not count.
+    /// The reason to reject a change based on `based_on`, which is not the current version.
     #[must_use]
     pub fn conflict(&self, based_on: u64) -> Reason {
         let by = self.change.as_ref().map(|change| change.by.clone());
@@ -251,7 +253,7 @@
         }
     }
 
-    fn members(&mut self, at: Wall) -> &mut Membership {
+    fn membership_at(&mut self, at: Wall) -> &mut Membership {
         Arc::make_mut(&mut self.membership).advance(at)
     }
 }
