--- a/crates/cassiarock-rule/src/condition/mismatch.rs
+++ b/crates/cassiarock-rule/src/condition/mismatch.rs
@@ -1,12 +1,11 @@
-//! The part of a condition that keeps a request out.
+//! The explanation of why a condition does not match a request.
 
 use super::{Condition, Span};
 use crate::Request;
 use cassiarock_id::Name;
 
 impl Condition {
-    /// The first part that does not hold for `request`, in words; none if the condition
-    /// holds.
+    /// Describes the first part that does not match `request`; `None` if the condition matches.
     ///
     /// ```
     /// use cassiarock_rule::{Condition, Request};
@@ -18,19 +17,19 @@
     #[must_use]
     pub fn mismatch(&self, request: &Request) -> Option<String> {
         let need = request.need;
-        list("kind", &self.kinds, &request.kind)
-            .or_else(|| list("team", &self.teams, &request.team))
-            .or_else(|| list("data_centre", &self.data_centres, &request.data_centre))
-            .or_else(|| span("tasks", self.tasks, request.task_count))
-            .or_else(|| span("cores", self.cores, need.cores))
-            .or_else(|| span("memory_mb", self.memory, need.memory))
-            .or_else(|| span("accelerators", self.accelerators, need.accelerators))
-            .or_else(|| self.repetition(request))
-            .or_else(|| self.time(request))
-            .or_else(|| self.burden(request))
+        list_mismatch("kind", &self.kinds, &request.kind)
+            .or_else(|| list_mismatch("team", &self.teams, &request.team))
+            .or_else(|| list_mismatch("data_centre", &self.data_centres, &request.data_centre))
+            .or_else(|| span_mismatch("tasks", self.tasks, request.task_count))
+            .or_else(|| span_mismatch("cores", self.cores, need.cores))
+            .or_else(|| span_mismatch("memory_mb", self.memory, need.memory))
+            .or_else(|| span_mismatch("accelerators", self.accelerators, need.accelerators))
+            .or_else(|| self.repeatable_mismatch(request))
+            .or_else(|| self.hours_mismatch(request))
+            .or_else(|| self.load_mismatch(request))
     }
 
-    fn repetition(&self, request: &Request) -> Option<String> {
+    fn repeatable_mismatch(&self, request: &Request) -> Option<String> {
         let wanted = self
             .repeatable
             .filter(|wanted| *wanted != request.repeatable)?;
@@ -40,33 +39,33 @@
         ))
     }
 
-    fn time(&self, request: &Request) -> Option<String> {
-        let clock = request.time_of_day();
-        let hours = self.hours.filter(|hours| !hours.contains(clock))?;
+    fn hours_mismatch(&self, request: &Request) -> Option<String> {
+        let time = request.time_of_day();
+        let hours = self.hours.filter(|hours| !hours.contains(time))?;
         Some(format!(
-            "{clock} is not within {} to {}",
+            "{time} is not within {} to {}",
             hours.from, hours.until
         ))
     }
 
-    fn burden(&self, request: &Request) -> Option<String> {
+    fn load_mismatch(&self, request: &Request) -> Option<String> {
         let load = self.load.as_ref()?;
-        let what = format!("load of {}", load.pool);
-        span(&what, load.percent, request.loads.of(&load.pool))
+        let name = format!("load of {}", load.pool);
+        span_mismatch(&name, load.percent, request.loads.of(&load.pool))
     }
 }
 
-fn list(what: &str, names: &[Name], name: &Name) -> Option<String> {
+fn list_mismatch(part: &str, names: &[Name], name: &Name) -> Option<String> {
     if names.is_empty() || names.contains(name) {
         return None;
     }
-    Some(format!("{what} {name} is not among {}", names.join(", ")))
+    Some(format!("{part} {name} is not among {}", names.join(", ")))
 }
 
-fn span(what: &str, span: Span, number: u32) -> Option<String> {
+fn span_mismatch(part: &str, span: Span, number: u32) -> Option<String> {
     if span.contains(number) {
         return None;
     }
     let Span { min, max } = span;
-    Some(format!("{what} {number} is not within {min} to {max}"))
+    Some(format!("{part} {number} is not within {min} to {max}"))
 }
--- a/crates/cassiarock-rule/src/condition/mod.rs
+++ b/crates/cassiarock-rule/src/condition/mod.rs
@@ -1,4 +1,4 @@
-//! The conditions under which a rule matches a request.
+//! The conditions of rules on requests.
 
 mod mismatch;
 mod span;
@@ -11,54 +11,55 @@
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 
-/// A bound on the load of a pool.
+/// A condition on the load of a pool.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// The pool, not always the one in which the rule runs its requests.
+    /// The pool, which may differ from the one in which the rule runs requests.
     pub pool: Name,
-    /// Percent of its slots in use.
+    /// The range of the used slots in percent.
     pub percent: Span,
 }
 
-/// All given parts must hold; what is left out holds always, so the default matches all.
+/// A condition that matches a request if all its given parts match. A part that is left out
+/// always matches, so the default matches every request.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Condition {
-    /// One of these kinds; any if empty.
+    /// The accepted kinds; any if empty.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub kinds: Vec<Name>,
-    /// One of these teams; any if empty.
+    /// The accepted teams; any if empty.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub teams: Vec<Name>,
-    /// Arrived in one of these data centres; any if empty.
+    /// The accepted data centres of arrival; any if empty.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub data_centres: Vec<Name>,
-    /// The number of tasks.
+    /// The range of the number of tasks.
     #[serde(skip_serializing_if = "Span::is_full")]
     pub tasks: Span,
-    /// Declared cores per task.
+    /// The range of declared cores per task.
     #[serde(skip_serializing_if = "Span::is_full")]
     pub cores: Span,
-    /// Declared memory per task in MB.
+    /// The range of declared memory per task, in MB.
     #[serde(rename = "memory_mb", skip_serializing_if = "Span::is_full")]
     pub memory: Span,
-    /// Declared accelerators per task.
+    /// The range of declared accelerators per task.
     #[serde(skip_serializing_if = "Span::is_full")]
     pub accelerators: Span,
-    /// The time of day.
+    /// The range of the time of day.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hours: Option<Hours>,
     /// The load of a pool.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub load: Option<Load>,
-    /// Only repeatable requests, or only others.
+    /// If given, only requests that are repeatable, or only those that are not.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<bool>,
 }
 
 impl Condition {
-    /// Whether every part holds for `request`.
+    /// Whether every part matches `request`.
     ///
     /// ```
     /// use cassiarock_rule::{Condition, Request};
@@ -68,9 +69,9 @@
     /// ```
     #[must_use]
     pub fn matches(&self, request: &Request) -> bool {
-        lists(&self.kinds, &request.kind)
-            && lists(&self.teams, &request.team)
-            && lists(&self.data_centres, &request.data_centre)
+        list_matches(&self.kinds, &request.kind)
+            && list_matches(&self.teams, &request.team)
+            && list_matches(&self.data_centres, &request.data_centre)
             && self.tasks.contains(request.task_count)
             && self.cores.contains(request.need.cores)
             && self.memory.contains(request.need.memory)
@@ -91,6 +92,6 @@
     }
 }
 
-fn lists(names: &[Name], name: &Name) -> bool {
+fn list_matches(names: &[Name], name: &Name) -> bool {
     names.is_empty() || names.contains(name)
 }
--- a/crates/cassiarock-rule/src/condition/span.rs
+++ b/crates/cassiarock-rule/src/condition/span.rs
@@ -1,8 +1,8 @@
-//! A range of whole numbers.
+//! Inclusive ranges of whole numbers.
 
 use serde::{Deserialize, Serialize};
 
-/// From `min` to `max`, both included; everything by default.
+/// An inclusive range from `min` to `max`; unbounded by default.
 ///
 /// ```
 /// use cassiarock_rule::condition::Span;
@@ -12,10 +12,10 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Span {
-    /// The lowest number inside.
+    /// The lowest number of the range.
     #[serde(skip_serializing_if = "is_lowest")]
     pub min: u32,
-    /// The highest number inside.
+    /// The highest number of the range.
     #[serde(skip_serializing_if = "is_highest")]
     pub max: u32,
 }
@@ -30,25 +30,25 @@
 }
 
 impl Span {
-    /// Whether `number` lies inside.
+    /// Whether `number` lies within the range.
     #[must_use]
     pub fn contains(self, number: u32) -> bool {
         (self.min..=self.max).contains(&number)
     }
 
-    /// Whether every number of `other` lies inside.
+    /// Whether every number of `other` lies within the range.
     #[must_use]
     pub fn covers(self, other: Self) -> bool {
         self.min <= other.min && other.max <= self.max
     }
 
-    /// Whether every number lies inside.
+    /// Whether the range contains every number.
     #[must_use]
     pub fn is_full(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Whether no number lies inside.
+    /// Whether the range contains no number.
     #[must_use]
     pub fn is_empty(self) -> bool {
         self.min > self.max
--- a/crates/cassiarock-rule/src/condition/time_of_day.rs
+++ b/crates/cassiarock-rule/src/condition/time_of_day.rs
@@ -10,14 +10,14 @@
 const MINUTES_PER_DAY: u16 = 24 * MINUTES_PER_HOUR;
 const MILLIS_PER_MINUTE: u64 = 60_000;
 
-/// A minute of the day in UTC, written `06:30`.
+/// A minute of the day in UTC, formatted as `06:30`.
 ///
 /// ```
 /// use cassiarock_rule::condition::TimeOfDay;
 /// use cassiarock_id::Wall;
-/// let clock: TimeOfDay = "06:30".parse()?;
-/// assert_eq!(clock, TimeOfDay::at(Wall::from_millis((6 * 60 + 30) * 60_000)));
-/// assert_eq!(clock.to_string(), "06:30");
+/// let time: TimeOfDay = "06:30".parse()?;
+/// assert_eq!(time, TimeOfDay::at(Wall::from_millis((6 * 60 + 30) * 60_000)));
+/// assert_eq!(time.to_string(), "06:30");
 /// # Ok::<_, cassiarock_rule::condition::ParseTimeOfDayError>(())
 /// ```
 #[derive(
@@ -25,7 +25,7 @@
 )]
 pub struct TimeOfDay(u16);
 
-/// The text is no time of day; write hours and minutes as `06:30`, from 00:00 to 23:59.
+/// The text is not a time of day; write hours and minutes as `06:30`, from 00:00 to 23:59.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not a time of day such as 06:30")]
 pub struct ParseTimeOfDayError;
@@ -60,18 +60,18 @@
     }
 }
 
-/// A part of the day, over midnight if `from` is later than `until`.
+/// A time range of the day, which crosses midnight if `from` is later than `until`.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hours {
-    /// The first minute inside.
+    /// The first minute of the range.
     pub from: TimeOfDay,
-    /// The first minute after.
+    /// The first minute after the range.
     pub until: TimeOfDay,
 }
 
 impl Hours {
-    /// Whether `clock` lies inside.
+    /// Whether `time` lies within the range.
     ///
     /// ```
     /// use cassiarock_rule::condition::Hours;
@@ -81,23 +81,23 @@
     /// # Ok::<_, cassiarock_rule::condition::ParseTimeOfDayError>(())
     /// ```
     #[must_use]
-    pub fn contains(self, clock: TimeOfDay) -> bool {
+    pub fn contains(self, time: TimeOfDay) -> bool {
         if self.from <= self.until {
-            (self.from..self.until).contains(&clock)
+            (self.from..self.until).contains(&time)
         } else {
-            clock >= self.from || clock < self.until
+            time >= self.from || time < self.until
         }
     }
 
-    /// Whether every minute of `other` lies inside.
+    /// Whether every minute of `other` lies within the range.
     #[must_use]
     pub fn covers(self, other: Self) -> bool {
         (0..MINUTES_PER_DAY)
             .map(TimeOfDay)
-            .all(|clock| self.contains(clock) || !other.contains(clock))
+            .all(|time| self.contains(time) || !other.contains(time))
     }
 
-    /// Whether no minute lies inside.
+    /// Whether the range contains no minute.
     #[must_use]
     pub fn is_empty(self) -> bool {
         self.from == self.until
--- a/crates/cassiarock-rule/src/difference.rs
+++ b/crates/cassiarock-rule/src/difference.rs
@@ -1,4 +1,5 @@
-//! What differs between two states, for an operator who lost a race.
+//! The differences between two states, shown to an operator whose change was rejected because
+//! another one came first.
 
 use crate::{Configuration, RuleSet, State};
 use cassiarock_id::Name;
@@ -8,38 +9,38 @@
 /// One difference.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Line {
-    /// A rule that was not there before.
+    /// A rule was added.
     Added {
-        /// The rule.
+        /// The name of the rule.
         rule: Name,
-        /// Its place, from 0.
+        /// Its index, from 0.
         at: usize,
     },
-    /// A rule that is no longer there.
+    /// A rule was deleted.
     Deleted {
-        /// The rule.
+        /// The name of the rule.
         rule: Name,
     },
-    /// A rule that stands elsewhere among those that were there before.
+    /// A rule was moved relative to the other rules of the old state.
     Moved {
-        /// The rule.
+        /// The name of the rule.
         rule: Name,
-        /// Its place, from 0.
+        /// Its new index, from 0.
         to: usize,
     },
-    /// A rule with another condition or action.
+    /// The condition or action of a rule was changed.
     Changed {
-        /// The rule.
+        /// The name of the rule.
         rule: Name,
     },
-    /// A pool that was added, deleted or changed.
+    /// A pool was added, deleted or changed.
     Pool {
-        /// The pool.
+        /// The name of the pool.
         pool: Name,
     },
-    /// A team whose quota was added, deleted or changed.
+    /// The quota of a team was added, deleted or changed.
     Team {
-        /// The team.
+        /// The name of the team.
         team: Name,
     },
 }
@@ -57,15 +58,15 @@
     }
 }
 
-/// All differences in rules and configuration.
+/// The differences in rules and configuration.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Difference {
-    /// In the order of the rules, then of the names of pools and teams.
+    /// Rules in their order, then pools and teams by name.
     pub lines: Vec<Line>,
 }
 
 impl Difference {
-    /// What was done to `old` to make it `new`.
+    /// Computes the changes that turn `old` into `new`.
     ///
     /// ```
     /// use cassiarock_rule::{Difference, State};
@@ -99,7 +100,7 @@
             rule: rule.name.clone(),
         })
         .collect();
-    let kept = kept_order(old, new);
+    let unmoved = unmoved_rules(old, new);
     for (at, rule) in new.rules.iter().enumerate() {
         let name = rule.name.clone();
         let before = old.rules.iter().find(|before| before.name == name);
@@ -110,25 +111,25 @@
         if before != rule {
             lines.push(Line::Changed { rule: name.clone() });
         }
-        if !kept.contains(&name) {
+        if !unmoved.contains(&name) {
             lines.push(Line::Moved { rule: name, to: at });
         }
     }
     lines
 }
 
-/// The longest run of rules that stand in the same order in both sets: the others moved.
-fn kept_order(old: &RuleSet, new: &RuleSet) -> Vec<Name> {
-    let places: Vec<_> = new
+/// The longest common subsequence of rules in both sets; the other common rules were moved.
+fn unmoved_rules(old: &RuleSet, new: &RuleSet) -> Vec<Name> {
+    let old_positions: Vec<_> = new
         .rules
         .iter()
         .filter_map(|rule| Some((rule.name.clone(), old.position(&rule.name)?)))
         .collect();
     let mut longest: Vec<Vec<usize>> = Vec::new();
-    for (index, (_, place)) in places.iter().enumerate() {
+    for (index, (_, position)) in old_positions.iter().enumerate() {
         let runs = longest.iter().filter(|run| {
-            let last = run.last().and_then(|last| places.get(*last));
-            last.is_some_and(|(_, last)| last < place)
+            let last = run.last().and_then(|last| old_positions.get(*last));
+            last.is_some_and(|(_, last)| last < position)
         });
         let mut run = runs
             .max_by_key(|run| run.len())
@@ -139,7 +140,7 @@
     }
     let best = longest.into_iter().max_by_key(Vec::len).unwrap_or_default();
     best.into_iter()
-        .filter_map(|index| Some(places.get(index)?.0.clone()))
+        .filter_map(|index| Some(old_positions.get(index)?.0.clone()))
         .collect()
 }
 
--- a/crates/cassiarock-rule/src/jitter.rs
+++ b/crates/cassiarock-rule/src/jitter.rs
@@ -1,19 +1,19 @@
-//! Spreading what many processes do at once.
+//! Random delays that spread the announcements of many processes over time.
 
 use std::time::Duration;
 
-/// The rate at which returning processes announce themselves. The log takes several hundred
+/// The target rate of announcements by returning processes. The log accepts several hundred
 /// appends a second; half of them are left for operators, snapshots and retries.
 pub const ANNOUNCEMENTS_PER_SECOND: u32 = 200;
-/// No process waits longer before its first try, so that capacity returns in useful time.
+/// The maximum delay before the first attempt, so that capacity returns soon.
 pub const MAX_DELAY: Duration = Duration::from_secs(15);
 
-/// How long a process waits before it announces itself, for a `draw` from 0 up to 1.
+/// The time that a process waits before it announces itself, for a random `draw` from 0 up to 1.
 ///
-/// Made for a data centre or a whole system that returns at once: everyone's announcement in
-/// the same second would be several times what the log takes, the appends would time out, and
-/// their retries would keep the log where it is. `others` is the number of agents that might
-/// return with this one, the last known members. In a small system the wait is nothing.
+/// When a data centre or the whole system returns at once, simultaneous announcements would be
+/// several times what the log accepts: the appends would time out, and their retries would keep
+/// the log overloaded. `others` is the number of agents that might return with this one, which
+/// are the last known members. In a small system the delay is negligible.
 ///
 /// ```
 /// use cassiarock_rule::jitter;
--- a/crates/cassiarock-rule/src/record.rs
+++ b/crates/cassiarock-rule/src/record.rs
@@ -1,4 +1,4 @@
-//! The records on the log.
+//! The records on the log and their encoding.
 
 use crate::{Configuration, Edit, Member, RuleSet, State};
 use cassiarock_id::{Name, Process, Wall};
@@ -6,23 +6,23 @@
 use std::fmt;
 use uuid::{NoContext, Timestamp, Uuid};
 
-/// The format that this release writes.
+/// The record format that this release writes.
 pub const FORMAT: u32 = 1;
 
-/// The unique id of a record, by which its copies are recognised.
+/// The unique id of a record, by which duplicates are detected.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Id(Uuid);
 
 impl Id {
-    /// A new id, drawn at random.
+    /// Creates a random id (UUID version 7) with the time `now`, in whole seconds.
     #[must_use]
     pub fn new(now: Wall) -> Self {
         let seconds = now.as_millis() / 1000;
         Self(Uuid::new_v7(Timestamp::from_unix(NoContext, seconds, 0)))
     }
 
-    /// A fixed id for tests.
+    /// Creates an id from the given bits, for tests.
     #[must_use]
     pub fn with_bits(bits: u128) -> Self {
         Self(Uuid::from_u128(bits))
@@ -35,98 +35,99 @@
     }
 }
 
-/// What a record says.
+/// The content of a record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
     /// An operator changes the rules.
     Rules {
-        /// The version of rules and configuration that the operator saw.
+        /// The version of rules and configuration that the change is based on.
         based_on: u64,
-        /// Carried out in order, all or none.
+        /// Applied in order, all or none.
         edits: Vec<Edit>,
     },
     /// An operator changes the configuration.
     Configuration {
-        /// The version of rules and configuration that the operator saw.
+        /// The version of rules and configuration that the change is based on.
         based_on: u64,
         /// The whole new configuration.
         configuration: Configuration,
     },
     /// An agent announces itself.
     Joined {
-        /// What others must know of it.
+        /// The data of the agent.
         member: Member,
     },
-    /// An agent has gone: by its own word if the record is by a process of its name, else by
-    /// that of another process, which is bounded (see `membership::Removals`).
+    /// An agent left by itself, if the record is by a process of its name, or was removed by
+    /// another process. Such removals are rate limited (see `membership::Removals`).
     Left {
-        /// Which life of it.
+        /// The incarnation of the agent.
         process: Process,
     },
-    /// An agent has gone, after it handed over what it knew.
+    /// An agent left after it handed over its state.
     HandedOver {
-        /// Which life of it.
+        /// The incarnation of the agent.
         process: Process,
-        /// The membership version by which it chose whom to hand over to.
+        /// The membership version whose members it handed its state over to.
         version: u64,
     },
-    /// An agent gets no new work, or gets work again.
+    /// An operator starts or cancels the draining of an agent.
     Drain {
-        /// The agent.
+        /// The name of the agent.
         agent: Name,
-        /// Only this life of it; any if absent.
+        /// The incarnation that the order is limited to; any if absent.
         incarnation: Option<u64>,
-        /// True to leave, false to stay after all.
+        /// True to start draining, false to cancel it.
         leaving: bool,
-        /// Whether to pass over the bound on the share of a pool that may be leaving.
+        /// Whether to ignore the limit on the share of a pool that may be leaving.
         force: bool,
     },
-    /// The state of a process, so that older records can be cut.
+    /// The state of a process, so that older records can be deleted.
     Snapshot {
         /// The state after all records below `state.next`.
         state: Box<State>,
     },
-    /// An operator starts anew on a log of which no reader can know the beginning.
+    /// An operator sets rules and configuration anew on a log whose oldest records are deleted
+    /// and not covered by a snapshot.
     Restore {
-        /// The end of the log that the operator saw; it counts only at this very offset.
+        /// The end of the log as the operator read it; the record is valid only at this offset.
         end: u64,
-        /// The rules from now on.
+        /// The new rules.
         set: RuleSet,
-        /// The configuration from now on.
+        /// The new configuration.
         configuration: Configuration,
     },
 }
 
-/// One record.
+/// One log record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
     /// The format in which it was written.
     pub format: u32,
-    /// Unique; a retry of the same append carries the same id.
+    /// The unique id; a retry of the same append carries the same id.
     pub id: Id,
-    /// When it was written, by its author's clock.
+    /// The time at which it was written, by its author's clock.
     pub at: Wall,
     /// The operator or process that wrote it.
     pub by: Name,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
-/// Why bytes are no record of a known format. The reader passes over them.
+/// Why bytes cannot be decoded as a record. Readers skip them.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Not written by this system, or by a release whose records this one cannot read. Bring
-    /// all processes to the release that reads a format before one writes it.
+    /// The bytes were not written by this system, or by a release whose records this one cannot
+    /// read. Upgrade all processes to a release that reads a format before any writes it.
     #[error("unreadable record: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// Written by a newer release; update this process.
+    /// The record was written by a newer release; upgrade this process.
     #[error("record of format {0}, newer than {FORMAT}")]
     Newer(u32),
 }
 
 impl Record {
-    /// A record with a fresh id, written now.
+    /// Creates a record with a new id, written by `by` at `at`.
     ///
     /// ```
     /// use cassiarock_id::{Process, Wall};
@@ -146,34 +147,34 @@
         }
     }
 
-    /// The same under a fixed id.
+    /// Replaces the id.
     #[must_use]
     pub fn with_id(self, id: Id) -> Self {
         Self { id, ..self }
     }
 
-    /// Its bytes on the log.
+    /// Encodes the record as stored on the log.
     ///
     /// # Errors
-    /// If it cannot be written as JSON, which no record of this package does.
+    /// If it cannot be serialized as JSON, which does not happen for records of this crate.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         Ok(serde_json::to_vec(self)?)
     }
 
-    /// Reads bytes from the log.
+    /// Decodes a record stored on the log.
     ///
     /// # Errors
-    /// If they are no record, or one of a newer format.
+    /// If the bytes are not a record, or one of a newer format.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
-        let format: Format = serde_json::from_slice(bytes)?;
-        if format.format > FORMAT {
-            return Err(Error::Newer(format.format));
+        let header: FormatHeader = serde_json::from_slice(bytes)?;
+        if header.format > FORMAT {
+            return Err(Error::Newer(header.format));
         }
         Ok(serde_json::from_slice(bytes)?)
     }
 }
 
 #[derive(Deserialize)]
-struct Format {
+struct FormatHeader {
     format: u32,
 }
--- a/crates/cassiarock-rule/src/set.rs
+++ b/crates/cassiarock-rule/src/set.rs
@@ -1,28 +1,28 @@
-//! The ordered rules.
+//! Rules and ordered rule sets.
 
 use crate::action::Run;
 use crate::{Action, Condition, Decision, Request};
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 
-/// The name that decisions carry where no rule matched.
+/// The rule name in decisions on requests that no rule matched.
 pub const DEFAULT_RULE: &str = "default";
 
-/// One rule: when a request matches, then the action is taken.
+/// A condition on requests, and the action for those that match it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Unique within the set.
+    /// The name, unique within the set.
     pub name: Name,
-    /// Which requests it decides; all if left out.
+    /// The condition; matches all requests if left out.
     #[serde(default)]
     pub when: Condition,
-    /// What is done with them.
+    /// The action for matching requests.
     pub then: Action,
 }
 
 impl Rule {
-    /// A rule for all requests.
+    /// Creates a rule that matches all requests.
     pub fn new(name: impl Into<Name>, then: Action) -> Self {
         Self {
             name: name.into(),
@@ -31,30 +31,30 @@
         }
     }
 
-    /// The same under a condition.
+    /// Replaces the condition.
     #[must_use]
     pub fn with_condition(self, when: Condition) -> Self {
         Self { when, ..self }
     }
 }
 
-/// Rules in order; the first that matches decides.
+/// An ordered set of rules, of which the first that matches decides.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct RuleSet {
-    /// In the order of matching.
+    /// The rules in the order in which they are matched.
     pub rules: Vec<Rule>,
 }
 
 impl RuleSet {
-    /// A set of these rules, in this order.
+    /// Creates a set of rules in the given order.
     #[must_use]
     pub fn new(rules: Vec<Rule>) -> Self {
         Self { rules }
     }
 
-    /// Finds the first rule that matches; a request that none matches runs in the default
-    /// pool under the default limits, so that a first start needs no rules.
+    /// Decides by the first rule that matches. A request that none matches runs in the default
+    /// pool under the default limits, so that a new system needs no rules.
     ///
     /// ```
     /// use cassiarock_rule::{Action, Request, Rule, RuleSet};
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The place of the rule `name`.
+    /// The index of the rule `name`.
     #[must_use]
     pub fn position(&self, name: &str) -> Option<usize> {
         self.rules.iter().position(|rule| &*rule.name == name)
--- a/crates/cassiarock-rule/src/snapshot.rs
+++ b/crates/cassiarock-rule/src/snapshot.rs
@@ -1,23 +1,24 @@
-//! When to append the state again, so that it outlives the records it came from.
+//! The schedule of snapshots, which preserve the state when older records are deleted.
 
 use crate::State;
 use cassiarock_id::Wall;
 use std::time::Duration;
 
-/// A snapshot is written when the last one has reached this share of the retention time, at
-/// the earliest. The rest is for outages: while the log is down for less than half of the
-/// retention time, the last snapshot is still there when it returns.
-const SHARE: u32 = 4;
-/// A snapshot is written after so many records, so that a new process reads few of them.
-const RECORDS: u64 = 1024;
-/// Snapshots that became due at once, as after an outage or after many records, are drawn over
-/// this time. With 2,900 processes one draw falls into each 20 ms, so that a few write before
-/// the first snapshot has reached the others; the log takes several hundred appends a second.
-const SPREAD: Duration = Duration::from_secs(60);
+/// A snapshot becomes due when the last one is as old as the retention time divided by this. The
+/// rest is a margin for outages: after the log was down for less than half of the retention
+/// time, the last snapshot still exists.
+const RETENTION_DIVISOR: u32 = 4;
+/// A snapshot becomes due after this many records, so that a new process reads few of them.
+const MAX_UNCOVERED_RECORDS: u64 = 1024;
+/// Snapshots that become due in all processes at once, as after an outage or after many records,
+/// are spread over this time. With 2,900 processes one is written every 20 ms, so that a few are
+/// written before the first has reached the others; the log accepts several hundred appends a
+/// second.
+const JITTER_WINDOW: Duration = Duration::from_secs(60);
 
-/// One process's part in keeping the state on the log. All processes write snapshots, since
-/// none is set aside for it, but each at a time of its own draw; the first snapshot makes the
-/// others wait again. Copies do no harm, and neither does an old one: see [`crate::Fold`].
+/// The schedule by which one process writes snapshots. No process is dedicated to it: each waits
+/// for a random delay, and the first snapshot resets the others. Duplicate and outdated snapshots
+/// are harmless, see [`crate::Fold`].
 #[derive(Clone, Copy, Debug)]
 pub struct Schedule {
     retention: Duration,
@@ -26,8 +27,8 @@
 }
 
 impl Schedule {
-    /// A schedule for a log that keeps records for `retention`, with this process's `draw`
-    /// from 0 up to 1.
+    /// Creates a schedule for a log that keeps records for `retention`, with the random `draw` of
+    /// this process from 0 up to 1.
     #[must_use]
     pub fn new(retention: Duration, draw: f64) -> Self {
         Self {
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Whether to append a snapshot of `state` now, which must be known to the end of the log.
-    /// Call it at least once a second while the log answers, and `reset` when it does not.
+    /// Whether to append a snapshot of `state` now, which must be up to date with the end of the
+    /// log. Call it at least once a second while the log answers, and `reset` when it does not.
     ///
     /// ```
     /// use cassiarock_id::Wall;
@@ -52,30 +53,31 @@
     /// assert!(schedule.is_due(&state, now.plus(Duration::from_secs(30))));
     /// ```
     pub fn is_due(&mut self, state: &State, now: Wall) -> bool {
-        if !self.is_wanted(state, now) {
+        if !self.needs_snapshot(state, now) {
             self.due_since = None;
             return false;
         }
         let since = *self.due_since.get_or_insert(now);
-        // On a log that keeps little, a whole minute could be too late.
-        let spread = SPREAD.min(self.retention / SHARE);
-        now.since(since) >= spread.mul_f64(self.draw)
+        // With a short retention time a whole minute could be too late.
+        let window = JITTER_WINDOW.min(self.retention / RETENTION_DIVISOR);
+        now.since(since) >= window.mul_f64(self.draw)
     }
 
-    /// Forgets how long a snapshot was due: after an outage all processes draw anew.
+    /// Restarts the delay of a due snapshot, so that after an outage the processes are spread
+    /// again.
     pub fn reset(&mut self) {
         self.due_since = None;
     }
 
-    fn is_wanted(&self, state: &State, now: Wall) -> bool {
+    fn needs_snapshot(&self, state: &State, now: Wall) -> bool {
         if state.next == 0 {
             return false;
         }
-        let share = self.retention / SHARE;
+        let max_age = self.retention / RETENTION_DIVISOR;
         let age = now.since(state.covered_at);
-        // A clock far ahead at the writer of the last snapshot must not put off the next one.
+        // A clock far ahead at the author of the last snapshot must not delay the next one.
         let ahead = state.covered_at.since(now);
-        let many = state.next.saturating_sub(state.covered) > RECORDS;
-        many || age >= share || ahead >= share
+        let many = state.next.saturating_sub(state.covered) > MAX_UNCOVERED_RECORDS;
+        many || age >= max_age || ahead >= max_age
     }
 }
