--- a/crates/cassiarock-rule/src/check/cover.rs
+++ b/crates/cassiarock-rule/src/check/cover.rs
@@ -1,12 +1,13 @@
-//! Whether one condition matches all that another matches.
+//! Whether a condition matches every request that another one matches.
 
 use crate::Condition;
 use crate::condition::Load;
 use cassiarock_id::Name;
 
 impl Condition {
-    /// Whether every request under `other` is also under this condition. Parts are compared
-    /// one by one, so a rule hidden by several earlier ones only together is not found.
+    /// Whether this condition matches every request that `other` matches. Conditions are compared
+    /// in pairs and part by part, so a rule that is unreachable only because of several earlier
+    /// ones together is not detected.
     ///
     /// ```
     /// use cassiarock_rule::Condition;
@@ -16,19 +17,19 @@
     /// ```
     #[must_use]
     pub fn covers(&self, other: &Self) -> bool {
-        names(&self.kinds, &other.kinds)
-            && names(&self.teams, &other.teams)
-            && names(&self.data_centres, &other.data_centres)
+        names_cover(&self.kinds, &other.kinds)
+            && names_cover(&self.teams, &other.teams)
+            && names_cover(&self.data_centres, &other.data_centres)
             && self.tasks.covers(other.tasks)
             && self.cores.covers(other.cores)
             && self.memory.covers(other.memory)
             && self.accelerators.covers(other.accelerators)
-            && self.hours(other)
-            && load(self.load.as_ref(), other.load.as_ref())
+            && self.hours_cover(other)
+            && load_covers(self.load.as_ref(), other.load.as_ref())
             && (self.repeatable.is_none() || self.repeatable == other.repeatable)
     }
 
-    fn hours(&self, other: &Self) -> bool {
+    fn hours_cover(&self, other: &Self) -> bool {
         match (self.hours, other.hours) {
             (None, _) => true,
             (Some(_), None) => false,
@@ -38,11 +39,11 @@
 }
 
 /// An empty list stands for every name.
-fn names(these: &[Name], those: &[Name]) -> bool {
+fn names_cover(these: &[Name], those: &[Name]) -> bool {
     these.is_empty() || (!those.is_empty() && those.iter().all(|name| these.contains(name)))
 }
 
-fn load(this: Option<&Load>, that: Option<&Load>) -> bool {
+fn load_covers(this: Option<&Load>, that: Option<&Load>) -> bool {
     match (this, that) {
         (None, _) => true,
         (Some(this), Some(that)) => this.pool == that.pool && this.percent.covers(that.percent),
--- a/crates/cassiarock-rule/src/check/mod.rs
+++ b/crates/cassiarock-rule/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! Refusing a rule set or a configuration that cannot be right, before it is published.
+//! Validation of rule sets and configurations before they are published.
 
 mod cover;
 mod problem;
@@ -8,11 +8,12 @@
 
 use crate::{Configuration, Rule, RuleSet};
 
-/// The most rules in a set. Every request is compared with them in order, which at a thousand
-/// rules costs an entry some ten microseconds a job; and a state must fit one record.
+/// The maximum number of rules in a set. Every request is matched against them in order, which
+/// costs an entry about ten microseconds a job at a thousand rules; and a state must fit into one
+/// record.
 pub const MAX_RULES: usize = 1024;
 
-/// All that is wrong with `set` under `configuration`, in the order of the rules.
+/// All problems of `set` under `configuration`, in the order of the rules.
 ///
 /// ```
 /// use cassiarock_rule::{Action, Configuration, Rule, RuleSet, action::Run, check};
@@ -26,7 +27,7 @@
         .rules
         .iter()
         .enumerate()
-        .flat_map(|(position, rule)| one(set, position, rule, configuration))
+        .flat_map(|(position, rule)| rule_problems(set, position, rule, configuration))
         .collect();
     if set.rules.len() > MAX_RULES {
         let fault = Fault::TooManyRules { limit: MAX_RULES };
@@ -39,7 +40,7 @@
     problems
 }
 
-/// All that is wrong with `configuration` for itself or under the rules of `rules`.
+/// All problems of `configuration` by itself or in combination with `rules`.
 ///
 /// ```
 /// use cassiarock_rule::{Configuration, RuleSet, check};
@@ -59,15 +60,23 @@
         .pools
         .contains_key(crate::action::DEFAULT_POOL))
     .then(|| "no pool is named default, where unmatched requests run".to_owned());
-    let broken = rule_set(rules, configuration);
-    let broken = broken.iter().map(ToString::to_string);
-    zero.chain(percent).chain(default).chain(broken).collect()
+    let rule_problems = rule_set(rules, configuration);
+    let rule_problems = rule_problems.iter().map(ToString::to_string);
+    zero.chain(percent)
+        .chain(default)
+        .chain(rule_problems)
+        .collect()
 }
 
-fn one(set: &RuleSet, position: usize, rule: &Rule, configuration: &Configuration) -> Vec<Problem> {
+fn rule_problems(
+    set: &RuleSet,
+    position: usize,
+    rule: &Rule,
+    configuration: &Configuration,
+) -> Vec<Problem> {
     let earlier = &set.rules[..position];
     let mut faults = rule::faults(rule, configuration);
-    faults.extend(rule::shadow(rule, earlier));
+    faults.extend(rule::conflicts(rule, earlier));
     let problem = |fault| Problem::new(rule, position, fault);
     faults.into_iter().map(problem).collect()
 }
--- a/crates/cassiarock-rule/src/check/problem.rs
+++ b/crates/cassiarock-rule/src/check/problem.rs
@@ -1,19 +1,19 @@
-//! What is wrong with a rule.
+//! The problems that validation finds in rules.
 
 use crate::Rule;
 use cassiarock_id::Name;
 use std::fmt;
 
-/// One fault and where it is.
+/// A fault and its location.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub struct Problem {
-    /// The rule.
+    /// The name of the rule.
     pub rule: Name,
-    /// Its place in the set, from 0.
+    /// Its index in the set, from 0.
     pub position: usize,
-    /// The line of its beginning in the file it was read from, from 1.
+    /// The line at which it begins in the file that it was read from, counted from 1.
     pub line: Option<usize>,
-    /// What is wrong.
+    /// The fault.
     pub fault: Fault,
 }
 
@@ -44,42 +44,44 @@
 /// A fault that makes a rule useless or harmful.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Fault {
-    /// Requests would wait for agents that cannot exist; name a configured pool.
+    /// The pool is not configured, so requests would wait for agents that cannot exist; name a
+    /// configured pool.
     #[error("no pool is named {0}")]
     UnknownPool(Name),
-    /// The rule can never decide; move it up, narrow the earlier one, or delete it.
+    /// The rule can never match; move it up, narrow the earlier one, or delete it.
     #[error("never reached, since rule {by} at {position} matches all that it matches")]
     Unreachable {
-        /// The earlier rule.
+        /// The name of the earlier rule.
         by: Name,
-        /// Its place.
+        /// Its index.
         position: usize,
     },
-    /// Nothing could ever run under it; give a number above zero, or refuse with a reason.
+    /// A limit is zero, so that nothing could run; give a number above zero, or refuse with a
+    /// reason.
     #[error("{0} is zero")]
     Zero(&'static str),
-    /// No request can match; the lower end must not lie above the upper one.
+    /// A range is empty, so no request can match; the minimum must not be above the maximum.
     #[error("{0} holds for no value")]
     EmptyRange(&'static str),
-    /// Edits could not tell the rules apart; give each another name.
+    /// Another rule has the same name, so edits could not tell them apart; rename one.
     #[error("the name is taken by the rule at {0}")]
     Duplicate(usize),
-    /// The rule needs a name.
+    /// The rule has no name.
     #[error("the name is empty")]
     EmptyName,
-    /// A caller must learn why; give a reason.
+    /// A refusal has no reason to tell the caller; give one.
     #[error("a refusal without reason")]
     EmptyReason,
-    /// A caller would wait beyond any use, and claims are not kept that long.
+    /// The deadline is longer than any caller waits and than claims are retained.
     #[error("a deadline above {limit_s} s")]
     DeadlineTooLong {
         /// The longest deadline in seconds.
         limit_s: u64,
     },
-    /// Retries would multiply the load of an outage; give at most 100.
+    /// Retries would multiply the load during an outage; give at most 100.
     #[error("retry_percent above 100")]
     TooManyRetries,
-    /// Delete rules that are no longer used.
+    /// The set has too many rules; delete unused ones.
     #[error("more than {limit} rules")]
     TooManyRules {
         /// The limit.
--- a/crates/cassiarock-rule/src/check/rule.rs
+++ b/crates/cassiarock-rule/src/check/rule.rs
@@ -1,4 +1,4 @@
-//! The faults of one rule.
+//! Validation of single rules.
 
 use super::Fault;
 use crate::action::Run;
@@ -6,31 +6,31 @@
 use cassiarock_id::Name;
 use std::time::Duration;
 
-/// The longest deadline: tasks take seconds at most, and no caller waits ten minutes.
-const LONGEST: Duration = Duration::from_secs(600);
-/// Retries may double a load at most.
-const RETRY_PERCENT: u32 = 100;
+/// The maximum deadline: tasks take seconds at most, and no caller waits ten minutes.
+const MAX_DEADLINE: Duration = Duration::from_secs(600);
+/// The maximum share of retries, which may at most double the load.
+const MAX_RETRY_PERCENT: u32 = 100;
 
-/// What is wrong with the rule itself.
+/// The faults of a rule by itself.
 pub fn faults(rule: &Rule, configuration: &Configuration) -> Vec<Fault> {
     let name = rule.name.is_empty().then_some(Fault::EmptyName);
     let mut faults: Vec<_> = name.into_iter().collect();
-    faults.extend(condition(&rule.when, configuration));
+    faults.extend(condition_faults(&rule.when, configuration));
     match &rule.then {
-        Action::Run(run) => faults.extend(limits(run, configuration)),
+        Action::Run(run) => faults.extend(limit_faults(run, configuration)),
         Action::Refuse { reason } if reason.is_empty() => faults.push(Fault::EmptyReason),
         Action::Refuse { .. } => {}
     }
     faults
 }
 
-/// Whether an earlier rule has its name, or takes all that it could decide.
-pub fn shadow(rule: &Rule, earlier: &[Rule]) -> Vec<Fault> {
+/// The conflicts with earlier rules: one has the same name, or matches all that the rule matches.
+pub fn conflicts(rule: &Rule, earlier: &[Rule]) -> Vec<Fault> {
     let same = earlier.iter().position(|other| other.name == rule.name);
-    let over = earlier
+    let covering = earlier
         .iter()
         .position(|other| other.when.covers(&rule.when));
-    let unreachable = over.and_then(|position| {
+    let unreachable = covering.and_then(|position| {
         let by = earlier.get(position)?.name.clone();
         Some(Fault::Unreachable { by, position })
     });
@@ -40,7 +40,7 @@
         .collect()
 }
 
-fn condition(when: &Condition, configuration: &Configuration) -> Vec<Fault> {
+fn condition_faults(when: &Condition, configuration: &Configuration) -> Vec<Fault> {
     let spans = [
         ("tasks", when.tasks.is_empty() || when.tasks.max == 0),
         ("cores", when.cores.is_empty()),
@@ -59,11 +59,11 @@
     let pool = when
         .load
         .as_ref()
-        .and_then(|load| unknown(&load.pool, configuration));
+        .and_then(|load| unknown_pool(&load.pool, configuration));
     empty.chain(pool).collect()
 }
 
-fn limits(run: &Run, configuration: &Configuration) -> Vec<Fault> {
+fn limit_faults(run: &Run, configuration: &Configuration) -> Vec<Fault> {
     let zeros = [
         ("deadline_ms", run.deadline.is_zero()),
         ("queue", run.queue == 0),
@@ -71,17 +71,17 @@
     ];
     let zeros = zeros.into_iter().filter(|(_, zero)| *zero);
     let mut faults: Vec<_> = zeros.map(|(limit, _)| Fault::Zero(limit)).collect();
-    faults.extend(unknown(&run.pool, configuration));
-    if run.deadline > LONGEST {
-        let limit_s = LONGEST.as_secs();
+    faults.extend(unknown_pool(&run.pool, configuration));
+    if run.deadline > MAX_DEADLINE {
+        let limit_s = MAX_DEADLINE.as_secs();
         faults.push(Fault::DeadlineTooLong { limit_s });
     }
-    if run.retry_percent > RETRY_PERCENT {
+    if run.retry_percent > MAX_RETRY_PERCENT {
         faults.push(Fault::TooManyRetries);
     }
     faults
 }
 
-fn unknown(pool: &Name, configuration: &Configuration) -> Option<Fault> {
+fn unknown_pool(pool: &Name, configuration: &Configuration) -> Option<Fault> {
     (!configuration.pools.contains_key(pool)).then(|| Fault::UnknownPool(pool.clone()))
 }
--- a/crates/cassiarock-rule/src/effect.rs
+++ b/crates/cassiarock-rule/src/effect.rs
@@ -1,68 +1,69 @@
-//! What a record did to the state.
+//! The effect of a record on the state.
 
 use crate::edit;
 use cassiarock_id::Name;
 
-/// The effect of one record, the same in every process.
+/// The effect of one record, identical in every process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
     /// The state changed.
     Accepted,
-    /// The state stayed as it was, because the record no longer fits it.
+    /// The state is unchanged, because the record does not apply to it.
     Rejected(Reason),
-    /// The record asks for nothing new: a duplicate, a snapshot, or of an unknown kind.
+    /// The record changes nothing: it is a duplicate, a snapshot, or unreadable.
     Ignored,
 }
 
 /// Why a record was rejected.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Reason {
-    /// Another change came first; look at the difference and publish again on top of it.
+    /// Another change came first; look at the difference and publish again based on the new
+    /// version.
     #[error("based on version {based_on}, but {by} published version {version}")]
     Conflict {
         /// The version that the record was based on.
         based_on: u64,
         /// The current version.
         version: u64,
-        /// Who published the current version.
+        /// The operator who published the current version.
         by: Name,
     },
-    /// An edit does not fit the rules it was based on; correct it.
+    /// An edit cannot be applied to the rules it is based on; correct it.
     #[error("edit {position} does not fit: {error}")]
     Edit {
-        /// Which edit of the record, from 0.
+        /// The index of the edit in the record, from 0.
         position: usize,
-        /// What is wrong with it.
+        /// Why it cannot be applied.
         error: edit::Error,
     },
-    /// The rules or the configuration cannot be right; correct each of the problems. Found
-    /// before anything is appended.
+    /// The rules or the configuration are invalid; correct each of the problems. This is checked
+    /// before the record is appended.
     #[error("{}", .0.join("\n"))]
     Invalid(Vec<String>),
-    /// The process was superseded by a later incarnation or has left; it must not act any
-    /// more, and comes back only as a new incarnation.
+    /// The process has left or was replaced by a later incarnation; it must not act any more,
+    /// and can rejoin only as a new incarnation.
     #[error("the process has left or was replaced")]
     Departed,
-    /// Too many agents were removed by others within a minute, so the watcher is in doubt;
-    /// look whether the agents can be reached, and remove the rest later.
+    /// Other processes removed too many agents within a minute, so the observer may be at fault;
+    /// check whether the agents are reachable, and remove the others later.
     #[error("{removed} agents were removed within a minute, {members} are left")]
     RemovalLimit {
-        /// How many were removed.
+        /// The number of removed agents.
         removed: usize,
-        /// How many are left.
+        /// The number of remaining agents.
         members: usize,
     },
-    /// No member has this name; look at the current membership.
+    /// No member has this name; check the current membership.
     #[error("no agent is named {0}")]
     UnknownAgent(Name),
-    /// Too much of the pool would be leaving; wait for others to return, or order it with force.
+    /// Too many agents of the pool would be leaving; wait for others to return, or force it.
     #[error("{leaving} of {members} agents of pool {pool} would be leaving")]
     DrainLimit {
         /// The pool.
         pool: Name,
-        /// How many of its agents would be leaving.
+        /// The number of its agents that would be leaving.
         leaving: usize,
-        /// How many agents it has.
+        /// The number of its agents.
         members: usize,
     },
 }
--- a/crates/cassiarock-rule/src/explanation.rs
+++ b/crates/cassiarock-rule/src/explanation.rs
@@ -1,19 +1,19 @@
-//! Why a rule decides a request, and why the earlier ones do not.
+//! The explanation of why a rule decides a request and the earlier ones do not.
 
 use crate::{Action, Request, RuleSet};
 use cassiarock_id::Name;
 use serde::{Deserialize, Serialize};
 
-/// A rule that was passed over.
+/// A rule that does not match the request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SkippedRule {
-    /// The rule.
+    /// The name of the rule.
     pub rule: Name,
-    /// The first part of its condition that does not hold.
+    /// The first part of its condition that does not match.
     pub reason: String,
 }
 
-/// The way of a request through the rules.
+/// How the rules are evaluated for a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Explanation {
     /// The version of the rules.
@@ -22,12 +22,12 @@
     pub passed: Vec<SkippedRule>,
     /// The deciding rule, or `default` where none matched.
     pub rule: Name,
-    /// What it does.
+    /// Its action.
     pub action: Action,
 }
 
 impl Explanation {
-    /// Follows `request` through the rules of `version`.
+    /// Evaluates the rules of `version` for `request`.
     ///
     /// ```
     /// use cassiarock_rule::{Action, Condition, Explanation, Request, Rule, RuleSet};
--- a/crates/cassiarock-rule/src/request.rs
+++ b/crates/cassiarock-rule/src/request.rs
@@ -1,12 +1,12 @@
-//! What the rules see of a request.
+//! The properties of a request that rules can match.
 
 use crate::condition::TimeOfDay;
 use cassiarock_id::{Name, Wall};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a job declares for each of its tasks, or what an upstream has in all. Declarations are
-/// often far off: rules may sort by them, placement must not trust them.
+/// The resources that a job declares for each of its tasks, or that an upstream has in total.
+/// Declarations are often far off: rules may match on them, but placement must not rely on them.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Resources {
     /// Processor cores.
@@ -17,12 +17,12 @@
     pub accelerators: u32,
 }
 
-/// The load of pools in percent of their slots, as the entry sees it.
+/// The load of each pool in percent of its slots, as known to the entry.
 #[derive(Clone, Debug, Default)]
 pub struct PoolLoads(BTreeMap<Name, u32>);
 
 impl PoolLoads {
-    /// The same with the load of `pool` set.
+    /// Sets the load of `pool`.
     ///
     /// ```
     /// let loads = cassiarock_rule::request::PoolLoads::default().with_pool("default", 80);
@@ -35,36 +35,36 @@
         self
     }
 
-    /// The load of a pool; zero if nothing is known of it.
+    /// The load of a pool; zero if unknown.
     #[must_use]
     pub fn of(&self, pool: &str) -> u32 {
         self.0.get(pool).copied().unwrap_or(0)
     }
 }
 
-/// A request as the rules see it.
+/// A request to be matched against the rules.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// What the caller calls this sort of work.
+    /// The kind of work, as named by the caller.
     pub kind: Name,
     /// The caller's team.
     pub team: Name,
     /// The number of tasks.
     pub task_count: u32,
-    /// What each task declares.
+    /// The declared resources of each task.
     pub need: Resources,
     /// The data centre in which it arrived.
     pub data_centre: Name,
-    /// When it arrived.
+    /// The time of arrival.
     pub at: Wall,
-    /// Whether running it twice does no harm.
+    /// Whether it is idempotent and may run more than once.
     pub repeatable: bool,
-    /// The load of the pools.
+    /// The load of the pools at arrival.
     pub loads: PoolLoads,
 }
 
 impl Request {
-    /// A request of one task that may not be repeated, from no team and no data centre.
+    /// Creates a request of one task that is not repeatable, without team and data centre.
     ///
     /// ```
     /// use cassiarock_rule::{Request, State};
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The same from `team`.
+    /// Sets the team.
     #[must_use]
     pub fn with_team(self, team: impl Into<Name>) -> Self {
         Self {
@@ -93,19 +93,19 @@
         }
     }
 
-    /// The same with so many tasks.
+    /// Sets the number of tasks.
     #[must_use]
     pub fn with_task_count(self, task_count: u32) -> Self {
         Self { task_count, ..self }
     }
 
-    /// The same with declared needs.
+    /// Sets the declared resources of each task.
     #[must_use]
     pub fn with_need(self, need: Resources) -> Self {
         Self { need, ..self }
     }
 
-    /// The same, arrived in `data_centre`.
+    /// Sets the data centre of arrival.
     #[must_use]
     pub fn with_data_centre(self, data_centre: impl Into<Name>) -> Self {
         Self {
@@ -114,19 +114,19 @@
         }
     }
 
-    /// The same, arrived at `at`.
+    /// Sets the time of arrival.
     #[must_use]
     pub fn with_time(self, at: Wall) -> Self {
         Self { at, ..self }
     }
 
-    /// The same, repeatable or not.
+    /// Sets whether the request is repeatable.
     #[must_use]
     pub fn with_repeatable(self, repeatable: bool) -> Self {
         Self { repeatable, ..self }
     }
 
-    /// The same, seen with these loads of the pools.
+    /// Sets the load of the pools.
     #[must_use]
     pub fn with_loads(self, loads: PoolLoads) -> Self {
         Self { loads, ..self }
