--- a/crates/cassiarock-rule/tests/check.rs
+++ b/crates/cassiarock-rule/tests/check.rs
@@ -1,4 +1,4 @@
-//! Rule sets that cannot be right, and those that can.
+//! Validation of valid and invalid rule sets.
 
 use cassiarock_rule::{Configuration, RuleSet, check, source};
 use yare::parameterized;
@@ -27,13 +27,13 @@
     syntax = { r#"{ "name" }"#, "line 2: " },
     unknown_field = { r#"{ "name": "a", "when": { "kind": ["x"] }, "then": { "run": {} } }"#, "line 2: rule at 0: unknown field `kind`" },
 )]
-fn a_wrong_rule_is_refused_with_its_line(rule: &str, expected: &str) {
+fn an_invalid_rule_is_rejected_with_its_line(rule: &str, expected: &str) {
     let found = problems(&[rule]);
     assert!(found.starts_with(expected), "{found}");
 }
 
 #[test]
-fn a_rule_after_a_catch_all_is_refused_with_its_line() {
+fn a_rule_after_a_catch_all_is_rejected_with_its_line() {
     let all = format!(r#"{{ "name": "all", {RUN} }}"#);
     let late = format!(r#"{{ "name": "late", "when": {{ "kinds": ["alert"] }}, {RUN} }}"#);
     let expected =
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn two_rules_of_one_name_are_refused() {
+fn two_rules_of_one_name_are_rejected() {
     let first = format!(r#"{{ "name": "a", "when": {{ "kinds": ["alert"] }}, {RUN} }}"#);
     let second = format!(r#"{{ "name": "a", {RUN} }}"#);
     assert_eq!(
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_configuration_without_a_pool_that_the_rules_name_is_refused() {
+fn a_configuration_without_a_pool_that_the_rules_name_is_rejected() {
     let text = r#"[{ "name": "a", "then": { "run": { "pool": "night" } } }]"#;
     let mut configuration = Configuration::default();
     configuration
--- a/crates/cassiarock-rule/tests/decide.rs
+++ b/crates/cassiarock-rule/tests/decide.rs
@@ -1,4 +1,4 @@
-//! Which rule decides.
+//! Matching of requests by conditions, decisions and edits of rule sets.
 
 use cassiarock_id::Wall;
 use cassiarock_rule::request::{PoolLoads, Resources};
@@ -8,13 +8,13 @@
 fn condition(text: &str) -> Condition {
     let text = format!(r#"[{{ "name": "a", "when": {{ {text} }}, "then": {{ "run": {{}} }} }}]"#);
     source::read(&text, &Configuration::default())
-        .expect("one rule that can be right")
+        .expect("one valid rule")
         .rules[0]
         .when
         .clone()
 }
 
-fn morning() -> Request {
+fn morning_request() -> Request {
     Request::new("seat-check")
         .with_team("andes")
         .with_task_count(12)
@@ -42,12 +42,12 @@
     load = { r#""load": { "pool": "default", "percent": { "min": 85 } }"#, r#""load": { "pool": "default", "percent": { "max": 84 } }"# },
     repeatable = { r#""repeatable": true"#, r#""repeatable": false"# },
 )]
-fn a_condition_holds_or_not(holds: &str, fails: &str) {
-    assert!(condition(holds).matches(&morning()));
-    assert!(!condition(fails).matches(&morning()));
+fn a_condition_matches_or_not(matching: &str, other: &str) {
+    assert!(condition(matching).matches(&morning_request()));
+    assert!(!condition(other).matches(&morning_request()));
 }
 
-fn refusing(name: &str, kind: &str) -> Rule {
+fn refusing_rule(name: &str, kind: &str) -> Rule {
     let when = Condition {
         kinds: vec![kind.into()],
         ..Condition::default()
@@ -64,9 +64,9 @@
 #[test]
 fn the_first_rule_that_matches_decides_and_edits_change_the_order() {
     let mut set = RuleSet::new(vec![
-        refusing("a", "x"),
-        refusing("b", "x"),
-        refusing("c", "y"),
+        refusing_rule("a", "x"),
+        refusing_rule("b", "x"),
+        refusing_rule("c", "y"),
     ]);
     assert_eq!(&*set.decide(&Request::new("x")).rule, "a");
     Edit::Move {
@@ -83,15 +83,15 @@
 }
 
 #[parameterized(
-    insert_taken = { Edit::Insert { at: 0, rule: refusing("a", "x") } },
-    insert_beyond = { Edit::Insert { at: 2, rule: refusing("b", "x") } },
-    move_beyond = { Edit::Move { name: "a".into(), to: 1 } },
+    insert_taken = { Edit::Insert { at: 0, rule: refusing_rule("a", "x") } },
+    insert_out_of_range = { Edit::Insert { at: 2, rule: refusing_rule("b", "x") } },
+    move_out_of_range = { Edit::Move { name: "a".into(), to: 1 } },
     move_unknown = { Edit::Move { name: "b".into(), to: 0 } },
     delete_unknown = { Edit::Delete { name: "b".into() } },
-    replace_unknown = { Edit::Replace { rule: refusing("b", "x") } },
+    replace_unknown = { Edit::Replace { rule: refusing_rule("b", "x") } },
 )]
-fn an_edit_that_does_not_fit_changes_nothing(edit: Edit) {
-    let mut set = RuleSet::new(vec![refusing("a", "x")]);
+fn an_edit_that_cannot_be_applied_changes_nothing(edit: Edit) {
+    let mut set = RuleSet::new(vec![refusing_rule("a", "x")]);
     assert!(edit.apply(&mut set).is_err());
-    assert_eq!(set, RuleSet::new(vec![refusing("a", "x")]));
+    assert_eq!(set, RuleSet::new(vec![refusing_rule("a", "x")]));
 }
--- a/crates/cassiarock-rule/tests/explanation.rs
+++ b/crates/cassiarock-rule/tests/explanation.rs
@@ -1,4 +1,4 @@
-//! What an explanation says agrees with what the rules decide.
+//! Explanations agree with the decisions of the rules.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -36,14 +36,14 @@
     load = { json!({ "load": { "pool": "booking", "percent": { "max": 80 } } }), "load of booking 85 is not within 0 to 80" },
     repeatable = { json!({ "repeatable": true }), "repeatable is false, not true" },
 )]
-fn each_part_of_a_condition_is_named_when_it_fails(when: Value, reason: &str) {
+fn each_part_of_a_condition_that_does_not_match_is_named(when: Value, reason: &str) {
     let when: Condition = serde_json::from_value(when).unwrap();
     assert!(!when.matches(&request()));
     assert_eq!(when.mismatch(&request()).as_deref(), Some(reason));
 }
 
 #[test]
-fn a_condition_that_holds_has_no_obstacle() {
+fn a_condition_that_matches_has_no_mismatch() {
     let when = json!({
         "kinds": ["report"], "teams": ["desk"], "data_centres": ["andes-1"],
         "tasks": { "min": 40 }, "cores": { "min": 2 }, "memory_mb": { "min": 512 },
--- a/crates/cassiarock-rule/tests/fold.rs
+++ b/crates/cassiarock-rule/tests/fold.rs
@@ -1,4 +1,5 @@
-//! The fold under every interleaving of writers, cuts, copies and late snapshots.
+//! Property tests of the fold under interleavings of writers, truncation, duplicates and late
+//! snapshots.
 
 mod model;
 
@@ -8,12 +9,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 
-/// What must only grow in one process.
+/// The versions that must never decrease in one process.
 fn versions(state: &State) -> (u64, u64, u64) {
     (state.next, state.version, state.membership.version)
 }
 
-fn grows(before: &State, after: &State) -> bool {
+fn only_grew(before: &State, after: &State) -> bool {
     let (before, after) = (versions(before), versions(after));
     before.0 <= after.0 && before.1 <= after.1 && before.2 <= after.2
 }
@@ -29,28 +30,28 @@
             model.step(event);
             for reader in 0..READERS {
                 let Some(after) = model.readers[reader].state() else { continue };
-                prop_assert_eq!(after, &model.truth[usize::try_from(after.next).unwrap()]);
-                let replaced = matches!(event, Event::Replace(this, _) if *this == reader);
+                prop_assert_eq!(after, &model.expected_states[usize::try_from(after.next).unwrap()]);
+                let replaced = matches!(event, Event::ReplaceReader(this, _) if *this == reader);
                 if let (false, Some(before)) = (replaced, &before[reader]) {
-                    prop_assert!(grows(before, after));
+                    prop_assert!(only_grew(before, after));
                 }
             }
         }
-        agree_at_the_end(&mut model)?;
+        check_final_states(&mut model)?;
     }
 }
 
-/// Every reader that is not in search of a base knows the state at the end; and all find one
-/// as soon as a snapshot of the end is appended.
-fn agree_at_the_end(model: &mut Model) -> Result<(), TestCaseError> {
-    let state = Box::new(model.truth[model.records.len()].clone());
+/// Checks that every reader that does not search for a base state has the expected final state,
+/// and that the others find one as soon as a snapshot of the end is appended.
+fn check_final_states(model: &mut Model) -> Result<(), TestCaseError> {
+    let state = Box::new(model.expected_states[model.records.len()].clone());
     for reader in 0..READERS {
         model.read(reader, usize::MAX >> 1);
         let fold = &model.readers[reader];
         prop_assert!(fold.is_searching() || fold.state() == Some(&state));
     }
     model.append(Body::Snapshot { state });
-    let last = model.truth[model.records.len()].clone();
+    let last = model.expected_states[model.records.len()].clone();
     for reader in 0..READERS {
         model.read(reader, usize::MAX >> 1);
         prop_assert!(!model.readers[reader].is_searching());
@@ -59,36 +60,36 @@
     Ok(())
 }
 
-/// A log on which a stalled process appends, after a change and a cut, the snapshot that it
-/// took before the change.
-fn stalled_snapshot() -> Model {
+/// A log on which a stalled process appends the snapshot that it took before a change, after
+/// the record of that change was deleted.
+fn log_with_stale_snapshot() -> Model {
     let mut model = Model::new();
     model.step(&Event::Edit(0));
     model.step(&Event::Read(0, 1));
-    model.step(&Event::Take(0));
+    model.step(&Event::TakeSnapshot(0));
     model.step(&Event::Edit(0));
     model.step(&Event::Read(1, 2));
-    model.step(&Event::Cut(2));
-    model.step(&Event::Append);
+    model.step(&Event::Truncate(2));
+    model.step(&Event::AppendSnapshot);
     model
 }
 
-// An operator publishes a rule; a minute later a new process decides by the rules of before.
-// A process took a snapshot and stalled; the rule was published; retention cut the log; the
-// process woke up and appended its snapshot, which is now the first record on the log.
+// A new process must not decide by rules from before a published change. A process takes a
+// snapshot and stalls; a rule is published; retention deletes the older records; the process
+// resumes and appends its snapshot, which is now the first record on the log.
 #[test]
-fn a_snapshot_that_lacks_a_cut_change_is_not_taken() {
-    let model = stalled_snapshot();
-    let mut fold = Fold::new(model.earliest);
+fn a_snapshot_that_lacks_a_deleted_change_is_not_accepted() {
+    let model = log_with_stale_snapshot();
+    let mut fold = Fold::new(model.log_start);
     fold.push(2, model.records[2].clone());
     assert!(fold.is_searching());
     assert_eq!(fold.state(), None);
 }
 
-/// A reader that takes the first snapshot it meets, for the test of the tests.
-fn credulous(model: &Model) -> Option<State> {
+/// The state of a faulty reader that accepts the first snapshot it reads as its base state.
+fn fold_accepting_any_snapshot(model: &Model) -> Option<State> {
     let mut state: Option<State> = None;
-    for offset in model.earliest..model.end() {
+    for offset in model.log_start..model.end() {
         let record =
             model.records[usize::try_from(offset).expect("an offset of a small log")].as_ref();
         match (&mut state, record, record.map(|record| &record.body)) {
@@ -105,10 +106,10 @@
     state
 }
 
-// The property above must be able to fail: it does so for credulous readers.
+// Checks that the property above can fail: it does for readers that accept any snapshot.
 #[test]
-fn readers_that_take_any_snapshot_break_the_property() {
-    let state = credulous(&stalled_snapshot());
+fn readers_that_accept_any_snapshot_violate_the_property() {
+    let state = fold_accepting_any_snapshot(&log_with_stale_snapshot());
     assert_eq!(
         state.map(|state| state.version),
         Some(1),
@@ -118,9 +119,9 @@
     let found = runner.run(&prop::collection::vec(event(), 1..80), |events| {
         let mut model = Model::new();
         events.iter().for_each(|event| model.step(event));
-        let state = credulous(&model);
-        let truth = model.truth.last();
-        prop_assert!(state.is_none() || state.as_ref() == truth);
+        let state = fold_accepting_any_snapshot(&model);
+        let expected = model.expected_states.last();
+        prop_assert!(state.is_none() || state.as_ref() == expected);
         Ok(())
     });
     assert!(found.is_err());
@@ -128,46 +129,46 @@
 
 #[test]
 fn a_snapshot_taken_after_the_change_ends_the_search() {
-    let mut model = stalled_snapshot();
-    let mut fold = Fold::new(model.earliest);
+    let mut model = log_with_stale_snapshot();
+    let mut fold = Fold::new(model.log_start);
     fold.push(2, model.records[2].clone());
     model.read(1, 1);
-    model.step(&Event::Take(1));
-    model.step(&Event::Append);
+    model.step(&Event::TakeSnapshot(1));
+    model.step(&Event::AppendSnapshot);
     fold.push(3, model.records[3].clone());
-    assert_eq!(fold.state(), Some(&model.truth[4]));
+    assert_eq!(fold.state(), Some(&model.expected_states[4]));
 }
 
-// A running process was paused for longer than the log keeps records. It keeps serving what it
-// knows, does not take itself to be current, and goes on when a peer tells it the state.
+// A process was paused for longer than the log retains records. It must keep its state, know
+// that the state is not current, and continue when a peer offers it a newer one.
 #[test]
-fn a_reader_overtaken_by_the_cut_keeps_its_state_until_a_peer_helps() {
+fn a_reader_behind_the_log_start_keeps_its_state_until_a_peer_offers_one() {
     let mut model = Model::new();
     model.step(&Event::Edit(0));
     model.read(0, 1);
     model.read(1, 1);
     model.step(&Event::Edit(1));
     model.read(1, 1);
-    model.step(&Event::Cut(2));
+    model.step(&Event::Truncate(2));
     model.read(0, 1);
     assert!(model.readers[0].is_searching());
-    assert_eq!(model.readers[0].state(), Some(&model.truth[1]));
-    model.step(&Event::Tell(1, 0));
+    assert_eq!(model.readers[0].state(), Some(&model.expected_states[1]));
+    model.step(&Event::OfferState(1, 0));
     assert!(!model.readers[0].is_searching());
-    assert_eq!(model.readers[0].state(), Some(&model.truth[2]));
+    assert_eq!(model.readers[0].state(), Some(&model.expected_states[2]));
 }
 
-// A process starts while retention cuts the first records away under it. If it went on from
-// the empty state, it would run everything in the default pool.
+// A process starts while retention deletes the first records. If it continued from the empty
+// state, it would run all requests in the default pool.
 #[test]
-fn a_reader_that_never_read_anything_does_not_keep_the_empty_state() {
+fn a_reader_that_read_nothing_drops_the_empty_state() {
     let mut fold = Fold::new(0);
     fold.set_log_start(5);
     assert_eq!(fold.state(), None);
 }
 
 #[test]
-fn an_older_state_of_a_peer_is_not_taken() {
+fn an_older_state_of_a_peer_is_not_accepted() {
     let mut fold = Fold::new(0);
     fold.push(0, None);
     assert!(!fold.offer(State::default()));
--- a/crates/cassiarock-rule/tests/model/mod.rs
+++ b/crates/cassiarock-rule/tests/model/mod.rs
@@ -1,4 +1,5 @@
-//! A log, its readers and its writers for tests of the fold: no sockets, no clock.
+//! A model of a log with its readers and writers for tests of the fold, without sockets or
+//! clocks.
 
 use cassiarock_id::{Process, Wall};
 use cassiarock_rule::action::Run;
@@ -8,74 +9,75 @@
 
 pub const READERS: usize = 3;
 
-/// One thing that happens. Numbers are taken modulo what there is.
+/// One step of the model.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A reader's operator edits the rules on top of what that reader knows.
+    /// An operator edits the rules, based on the state of a reader.
     Edit(usize),
     Join(u8, u64),
     Leave(u8, u64),
     Drain(u8, bool),
-    /// A process has handed over to the members of so many versions ago.
+    /// A process has handed over to the members at the current version minus the last number.
     HandOver(u8, u64, u64),
-    /// A copy of an earlier record arrives.
-    Repeat(usize),
-    /// A reader takes a snapshot, to append it some time later.
-    Take(usize),
-    /// The oldest snapshot taken is appended.
-    Append,
-    /// An operator starts anew, having seen the end of the log some records ago.
+    /// A duplicate of an earlier record is appended; the index is taken modulo the log length.
+    Duplicate(usize),
+    /// A reader takes a snapshot, which is appended later.
+    TakeSnapshot(usize),
+    /// The oldest pending snapshot is appended.
+    AppendSnapshot,
+    /// An operator restores, based on the end of the log the given number of records ago.
     Restore(u64),
-    /// Bytes that are no record.
-    Garbage,
-    /// Retention cuts some of the kept records.
-    Cut(u64),
-    /// A reader reads some records.
+    /// Bytes that cannot be decoded as a record are appended.
+    Unreadable,
+    /// Retention deletes the given number of the oldest records.
+    Truncate(u64),
+    /// A reader reads up to the given number of records.
     Read(usize, usize),
-    /// A reader is replaced by one that knows nothing, and begins at the cut or later.
-    Replace(usize, u64),
-    /// A reader tells another what it knows.
-    Tell(usize, usize),
+    /// A reader is replaced by one without state, which starts the given number of records after
+    /// the start of the log.
+    ReplaceReader(usize, u64),
+    /// A reader offers its state to another.
+    OfferState(usize, usize),
 }
 
 pub fn event() -> impl Strategy<Value = Event> {
     let reader = 0..READERS;
     prop_oneof![
         4 => reader.clone().prop_map(Event::Edit),
-        2 => (0..4_u8, 1..4_u64).prop_map(|(name, life)| Event::Join(name, life)),
-        1 => (0..4_u8, 1..4_u64).prop_map(|(name, life)| Event::Leave(name, life)),
+        2 => (0..4_u8, 1..4_u64).prop_map(|(name, incarnation)| Event::Join(name, incarnation)),
+        1 => (0..4_u8, 1..4_u64).prop_map(|(name, incarnation)| Event::Leave(name, incarnation)),
         1 => (0..4_u8, any::<bool>()).prop_map(|(name, leaving)| Event::Drain(name, leaving)),
-        1 => (0..4_u8, 1..4_u64, 0..2_u64).prop_map(|(name, life, ago)| Event::HandOver(name, life, ago)),
-        2 => any::<usize>().prop_map(Event::Repeat),
-        2 => reader.clone().prop_map(Event::Take),
-        2 => Just(Event::Append),
+        1 => (0..4_u8, 1..4_u64, 0..2_u64)
+            .prop_map(|(name, incarnation, ago)| Event::HandOver(name, incarnation, ago)),
+        2 => any::<usize>().prop_map(Event::Duplicate),
+        2 => reader.clone().prop_map(Event::TakeSnapshot),
+        2 => Just(Event::AppendSnapshot),
         1 => (0..3_u64).prop_map(Event::Restore),
-        1 => Just(Event::Garbage),
-        2 => (0..8_u64).prop_map(Event::Cut),
+        1 => Just(Event::Unreadable),
+        2 => (0..8_u64).prop_map(Event::Truncate),
         8 => (reader.clone(), 1..8_usize).prop_map(|(reader, count)| Event::Read(reader, count)),
-        2 => (reader.clone(), 0..6_u64).prop_map(|(reader, late)| Event::Replace(reader, late)),
-        2 => (reader.clone(), reader).prop_map(|(from, to)| Event::Tell(from, to)),
+        2 => (reader.clone(), 0..6_u64).prop_map(|(reader, late)| Event::ReplaceReader(reader, late)),
+        2 => (reader.clone(), reader).prop_map(|(from, to)| Event::OfferState(from, to)),
     ]
 }
 
-/// The log with all that was ever appended, and the state after each record by a reader that
-/// missed nothing.
+/// All records that were ever appended, and the expected state after each of them.
 pub struct Model {
     pub records: Vec<Option<Record>>,
-    pub truth: Vec<State>,
-    pub earliest: u64,
+    pub expected_states: Vec<State>,
+    pub log_start: u64,
     pub readers: Vec<Fold>,
-    taken: Vec<State>,
+    snapshots: Vec<State>,
 }
 
 impl Model {
     pub fn new() -> Self {
         Self {
             records: Vec::new(),
-            truth: vec![State::default()],
-            earliest: 0,
+            expected_states: vec![State::default()],
+            log_start: 0,
             readers: vec![Fold::new(0); READERS],
-            taken: Vec::new(),
+            snapshots: Vec::new(),
         }
     }
 
@@ -86,11 +88,11 @@
     pub fn step(&mut self, event: &Event) {
         match event {
             Event::Edit(reader) => self.edit(*reader),
-            Event::Join(name, life) => self.append(Body::Joined {
-                member: member(*name, *life),
+            Event::Join(name, incarnation) => self.append(Body::Joined {
+                member: member(*name, *incarnation),
             }),
-            Event::Leave(name, life) => self.append(Body::Left {
-                process: process(*name, *life),
+            Event::Leave(name, incarnation) => self.append(Body::Left {
+                process: process(*name, *incarnation),
             }),
             Event::Drain(name, leaving) => self.append(Body::Drain {
                 agent: process(*name, 0).name,
@@ -98,24 +100,26 @@
                 leaving: *leaving,
                 force: false,
             }),
-            Event::HandOver(name, life, ago) => self.append(Body::HandedOver {
-                process: process(*name, *life),
-                version: self.truth[self.records.len()]
+            Event::HandOver(name, incarnation, ago) => self.append(Body::HandedOver {
+                process: process(*name, *incarnation),
+                version: self.expected_states[self.records.len()]
                     .membership
                     .version
                     .saturating_sub(*ago),
             }),
-            Event::Repeat(which) => self.repeat(*which),
-            Event::Take(reader) => self.taken.extend(self.readers[*reader].state().cloned()),
-            Event::Append => self.append_taken(),
+            Event::Duplicate(which) => self.duplicate(*which),
+            Event::TakeSnapshot(reader) => self
+                .snapshots
+                .extend(self.readers[*reader].state().cloned()),
+            Event::AppendSnapshot => self.append_snapshot(),
             Event::Restore(ago) => self.restore(*ago),
-            Event::Garbage => self.push(None),
-            Event::Cut(count) => self.earliest = (self.earliest + count).min(self.end()),
+            Event::Unreadable => self.push(None),
+            Event::Truncate(count) => self.log_start = (self.log_start + count).min(self.end()),
             Event::Read(reader, count) => self.read(*reader, *count),
-            Event::Replace(reader, late) => {
-                self.readers[*reader] = Fold::new((self.earliest + late).min(self.end()));
+            Event::ReplaceReader(reader, late) => {
+                self.readers[*reader] = Fold::new((self.log_start + late).min(self.end()));
             }
-            Event::Tell(from, to) => {
+            Event::OfferState(from, to) => {
                 if let Some(state) = self.readers[*from].state().cloned() {
                     self.readers[*to].offer(state);
                 }
@@ -123,10 +127,11 @@
         }
     }
 
-    /// Lets a reader read up to `count` records, beginning at the cut if it was overtaken.
+    /// Lets a reader read up to `count` records, from the start of the log if records were deleted
+    /// before it read them.
     pub fn read(&mut self, reader: usize, count: usize) {
         let fold = &mut self.readers[reader];
-        fold.set_log_start(self.earliest);
+        fold.set_log_start(self.log_start);
         for _ in 0..count {
             let offset = fold.next_offset();
             let Some(record) = self
@@ -146,12 +151,12 @@
     }
 
     fn push(&mut self, record: Option<Record>) {
-        let mut state = self.truth[self.records.len()].clone();
+        let mut state = self.expected_states[self.records.len()].clone();
         match &record {
             Some(record) => drop(state.apply(self.end(), record)),
             None => state.skip(self.end()),
         }
-        self.truth.push(state);
+        self.expected_states.push(state);
         self.records.push(record);
     }
 
@@ -165,15 +170,15 @@
         self.append(Body::Rules { based_on, edits });
     }
 
-    fn repeat(&mut self, which: usize) {
+    fn duplicate(&mut self, which: usize) {
         if !self.records.is_empty() {
             self.push(self.records[which % self.records.len()].clone());
         }
     }
 
-    fn append_taken(&mut self) {
-        if !self.taken.is_empty() {
-            let state = Box::new(self.taken.remove(0));
+    fn append_snapshot(&mut self) {
+        if !self.snapshots.is_empty() {
+            let state = Box::new(self.snapshots.remove(0));
             self.append(Body::Snapshot { state });
         }
     }
@@ -187,13 +192,13 @@
     }
 }
 
-fn process(name: u8, life: u64) -> Process {
-    Process::new(format!("agent-{name}"), life)
+fn process(name: u8, incarnation: u64) -> Process {
+    Process::new(format!("agent-{name}"), incarnation)
 }
 
-fn member(name: u8, life: u64) -> Member {
+fn member(name: u8, incarnation: u64) -> Member {
     Member::new(
-        process(name, life),
+        process(name, incarnation),
         ([127, 0, 0, 1], 7000 + u16::from(name)).into(),
     )
 }
--- a/crates/cassiarock-rule/tests/snapshot.rs
+++ b/crates/cassiarock-rule/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots by many processes: often enough through outages, and not all at once.
+//! Snapshots by many processes: frequent enough to survive outages, and spread over time.
 
 use cassiarock_id::Wall;
 use cassiarock_rule::record::Body;
@@ -16,7 +16,7 @@
     (0..count).map(|_| random.random()).collect()
 }
 
-/// A log that cuts records by their age, and processes that all know its end.
+/// A log that deletes records by age, and processes that are all up to date with its end.
 struct System {
     schedules: Vec<Schedule>,
     records: Vec<(Wall, Record)>,
@@ -44,8 +44,8 @@
         self.records.push((self.now, record));
     }
 
-    /// One second; gives how many snapshots were appended in it.
-    fn second(&mut self, up: bool) -> usize {
+    /// Simulates one second, and returns the number of snapshots appended in it.
+    fn run_second(&mut self, up: bool) -> usize {
         self.now = self.now.plus(SECOND);
         let (state, now) = (&self.state, self.now);
         let due = |schedule: &mut Schedule| {
@@ -69,14 +69,14 @@
         count
     }
 
-    fn seconds(&mut self, count: usize, up: bool) {
+    fn run_seconds(&mut self, count: usize, up: bool) {
         for _ in 0..count {
-            self.second(up);
+            self.run_second(up);
         }
     }
 
-    /// What a process knows that starts now.
-    fn newcomer(&self) -> Option<State> {
+    /// The state that a process folds from the log if it starts now.
+    fn state_of_new_process(&self) -> Option<State> {
         let oldest = self.now.minus(SECOND * 3_600);
         let kept = |(at, _): &&(Wall, Record)| *at < oldest;
         let first = self.records.iter().take_while(kept).count();
@@ -96,18 +96,18 @@
     }
 }
 
-// Rules are published, nobody changes anything for hours, the log is down for up to half of
-// its retention time at a time. A process that starts later must still find the rules.
+// Rules are published and not changed for hours, while the log is repeatedly down for up to half
+// of its retention time. A process that starts later must still find the rules.
 #[test]
-fn a_newcomer_always_finds_the_state_through_outages() {
+fn a_new_process_finds_the_state_despite_outages() {
     let mut system = System::new(50);
     system.append(edit(&system));
     for second in 0..6 * RETENTION_S {
         let down = second % 2_400 >= 700;
-        system.second(!down);
+        system.run_second(!down);
         if second % 60 == 0 {
             assert_eq!(
-                system.newcomer().as_ref(),
+                system.state_of_new_process().as_ref(),
                 Some(&system.state),
                 "at {second} s"
             );
@@ -120,38 +120,38 @@
     );
 }
 
-// The same without snapshots: the check above must be able to fail.
+// Checks that the test above can fail: it does without snapshots.
 #[test]
-fn without_snapshots_a_newcomer_loses_the_state() {
+fn without_snapshots_a_new_process_does_not_find_the_state() {
     let mut system = System::new(0);
     system.append(edit(&system));
-    system.seconds(3_601, true);
-    assert_ne!(system.newcomer().as_ref(), Some(&system.state));
+    system.run_seconds(3_601, true);
+    assert_ne!(system.state_of_new_process().as_ref(), Some(&system.state));
 }
 
-// The log returns after an outage, and a snapshot is due in each of 2,900 processes. If all
-// wrote theirs, the log would be down again.
+// After an outage of the log a snapshot is due in each of 2,900 processes. If all of them were
+// written at once, they would overload the log again.
 #[test]
 fn after_an_outage_few_of_many_processes_write_a_snapshot() {
     let mut system = System::new(2_900);
     system.append(edit(&system));
-    system.seconds(1_500, false);
-    let busiest = (0..120).map(|_| system.second(true)).max();
+    system.run_seconds(1_500, false);
+    let busiest = (0..120).map(|_| system.run_second(true)).max();
     assert!(busiest <= Some(100), "{busiest:?} in one second");
     assert!(system.snapshots > 0);
 }
 
-// A process took a snapshot, stalled for most of the retention time, and appends it. The
-// records since then are not covered, so the others must not wait for long.
+// A process takes a snapshot, stalls for most of the retention time, and appends it. The records
+// in between are not covered, so it must not delay the next snapshot.
 #[test]
-fn a_late_snapshot_does_not_put_off_the_next_one() {
+fn a_late_snapshot_does_not_delay_the_next_one() {
     let mut system = System::new(50);
     system.append(edit(&system));
     let stalled = Box::new(system.state.clone());
     system.append(edit(&system));
     system.now = system.now.plus(SECOND * 3_000);
     system.append(Body::Snapshot { state: stalled });
-    system.seconds(60, true);
+    system.run_seconds(60, true);
     system.now = system.now.plus(SECOND * 1_000);
-    assert_eq!(system.newcomer().as_ref(), Some(&system.state));
+    assert_eq!(system.state_of_new_process().as_ref(), Some(&system.state));
 }
--- a/crates/cassiarock-rule/tests/state.rs
+++ b/crates/cassiarock-rule/tests/state.rs
@@ -1,4 +1,4 @@
-//! Records applied one by one.
+//! The effects of single records on the state.
 
 use cassiarock_id::{Process, Wall};
 use cassiarock_rule::action::Run;
@@ -17,13 +17,16 @@
     Record::new(Wall::default(), by, Body::Rules { based_on, edits })
 }
 
-fn joined(name: &str, life: u64) -> Record {
-    let member = Member::new(Process::new(name, life), ([127, 0, 0, 1], 7001).into());
+fn joined(name: &str, incarnation: u64) -> Record {
+    let member = Member::new(
+        Process::new(name, incarnation),
+        ([127, 0, 0, 1], 7001).into(),
+    );
     Record::new(Wall::default(), name, Body::Joined { member })
 }
 
-fn left(name: &str, life: u64) -> Record {
-    let process = Process::new(name, life);
+fn left(name: &str, incarnation: u64) -> Record {
+    let process = Process::new(name, incarnation);
     Record::new(Wall::default(), "peer", Body::Left { process })
 }
 
@@ -46,10 +49,10 @@
     (state, effects)
 }
 
-// Two operators look at the same rules and each publish an edit. The second must not land on
-// top of rules its author never saw.
+// Two operators publish edits based on the same version. The second must not be applied to rules
+// that its author has not seen.
 #[test]
-fn of_two_racing_edits_the_first_wins_and_the_second_is_told_by_whom() {
+fn of_two_concurrent_edits_the_first_wins_and_the_second_is_told_the_author() {
     let (state, effects) = fold(&[insert("ana", 0, "a"), insert("ben", 0, "b")]);
     let lost = Reason::Conflict {
         based_on: 0,
@@ -60,10 +63,10 @@
     assert_eq!((state.version, state.rules.rules.len()), (1, 1));
 }
 
-// The answer to an append is lost, so it is appended again; another operator's change comes
-// between the copies.
+// The response to an append is lost, so the record is appended again, after another operator's
+// change.
 #[test]
-fn a_copy_of_an_accepted_change_is_passed_over() {
+fn a_duplicate_of_an_accepted_change_is_ignored() {
     let first = insert("ana", 0, "a");
     let (state, effects) = fold(&[first.clone(), insert("ben", 1, "b"), first]);
     assert_eq!(
@@ -74,7 +77,7 @@
 }
 
 #[test]
-fn of_edits_that_do_not_all_fit_none_is_carried_out() {
+fn edits_are_applied_all_or_none() {
     let delete = Edit::Delete {
         name: "none".into(),
     };
@@ -94,10 +97,10 @@
     assert!(state.rules.rules.is_empty());
 }
 
-// A new agent takes the address and name of one that died. The dead one's removal, decided
-// before, arrives after the new one joined.
+// A new agent takes the address and name of one that died. The removal of the dead one is
+// appended after the new one joined.
 #[test]
-fn a_late_removal_of_an_earlier_life_spares_the_later_one() {
+fn a_late_removal_of_an_earlier_incarnation_keeps_the_later_one() {
     let (state, effects) = fold(&[joined("a", 1), joined("a", 2), left("a", 1)]);
     assert_eq!(effects[2], Effect::Ignored);
     assert_eq!(
@@ -106,9 +109,9 @@
     );
 }
 
-// A paused process is removed, wakes up, and its append from before the pause arrives.
+// A paused process is removed, and its append from before the pause arrives when it resumes.
 #[test]
-fn a_removed_process_does_not_come_back_in_the_same_life() {
+fn a_removed_process_does_not_rejoin_as_the_same_incarnation() {
     let (state, effects) = fold(&[joined("a", 1), left("a", 1), joined("a", 1), joined("a", 2)]);
     assert_eq!(effects[2], Effect::Rejected(Reason::Departed));
     assert_eq!(effects[3], Effect::Accepted);
@@ -119,9 +122,9 @@
     assert_eq!(state.membership.version, 4);
 }
 
-// Two scripts each drain what they think is a third of three agents.
+// Two scripts each drain one of three agents, unaware of each other.
 #[test]
-fn racing_drains_do_not_empty_a_pool() {
+fn concurrent_drains_do_not_empty_a_pool() {
     let records = [
         joined("a", 1),
         joined("b", 1),
@@ -141,9 +144,9 @@
     assert_eq!(state.apply(5, &drain("b", true)), Effect::Accepted);
 }
 
-// An entry is cut off from the agents, takes them all for dead and says so on the log.
+// An entry is partitioned from the agents, considers all of them dead and appends their removals.
 #[test]
-fn one_watcher_does_not_empty_the_membership() {
+fn one_observer_does_not_empty_the_membership() {
     let mut records: Vec<_> = (0..9).map(|name| joined(&format!("a{name}"), 1)).collect();
     records.extend((0..9).map(|name| left(&format!("a{name}"), 1)));
     let (mut state, _) = fold(&records);
@@ -156,21 +159,21 @@
     assert_eq!(state.apply(19, &own), Effect::Accepted);
 }
 
-// A drain is refused, and its copy arrives when the pool has recovered: the operator was told
-// that it was refused, so it must not happen after all.
+// A drain is rejected, and its duplicate arrives after the pool has recovered. The operator was
+// told that it was rejected, so it must not take effect.
 #[test]
-fn a_copy_of_a_refused_drain_does_nothing_later() {
-    let refused = drain("b", false).with_id(Id::with_bits(9));
+fn a_duplicate_of_a_rejected_drain_has_no_effect() {
+    let rejected = drain("b", false).with_id(Id::with_bits(9));
     let (mut state, _) = fold(&[joined("a", 1), joined("b", 1), drain("a", false)]);
-    assert!(matches!(state.apply(3, &refused), Effect::Rejected(_)));
+    assert!(matches!(state.apply(3, &rejected), Effect::Rejected(_)));
     state.apply(4, &left("a", 1));
-    assert_eq!(state.apply(5, &refused), Effect::Ignored);
+    assert_eq!(state.apply(5, &rejected), Effect::Ignored);
 }
 
-// The log was cut beyond what anybody knows, and an operator restores. Agents and jobs of
-// before are not in the new state; a job of before must not look as if it never ran.
+// Records were deleted that no snapshot covers, and an operator restores. Earlier agents and jobs
+// are not in the new state, and an earlier job must not appear to have never run.
 #[test]
-fn a_restore_does_not_claim_to_know_what_was_before() {
+fn a_restore_does_not_claim_to_know_earlier_views() {
     let at = Wall::from_millis(5_000);
     let body = Body::Restore {
         end: 1,
@@ -184,11 +187,11 @@
     assert!(!history.is_complete_since(1) && history.is_complete_since(2));
 }
 
-// A member runs a job, dies and is removed. An entry that starts then knows only the
-// changes of late; without the view before the first of them it would take the job for one
-// that this member cannot have run.
+// A member runs a job, dies and is removed. An entry that starts afterwards knows only recent
+// changes; without the view before the first of them it would conclude that this member cannot
+// have run the job.
 #[test]
-fn the_view_before_the_first_remembered_change_is_told() {
+fn the_view_before_the_first_remembered_change_is_reported() {
     let late = Wall::from_millis(2 * 3_600 * 1_000);
     let at = |record: Record| Record { at: late, ..record };
     let records = [
@@ -198,18 +201,18 @@
         at(left("a", 1)),
     ];
     let (state, _) = fold(&records);
-    let told = state.membership.views(0).into_iter().map(|view| {
+    let views = state.membership.views(0).into_iter().map(|view| {
         let names = view.members.iter().map(|member| member.name.to_string());
         let mut names: Vec<_> = names.collect();
         names.sort();
         (view.version, names.concat())
     });
     let expected = [(2, "ab"), (3, "abc"), (4, "bc")].map(|(n, names)| (n, names.to_owned()));
-    assert_eq!(told.collect::<Vec<_>>(), expected);
+    assert_eq!(views.collect::<Vec<_>>(), expected);
 }
 
 #[test]
-fn a_record_of_a_newer_format_is_not_read() {
+fn a_record_of_a_newer_format_is_not_decoded() {
     let mut record = joined("a", 1);
     record.format += 1;
     assert!(Record::decode(&record.encode().unwrap()).is_err());
