--- a/crates/cassiarock-rule/src/fold.rs
+++ b/crates/cassiarock-rule/src/fold.rs
@@ -11,8 +11,8 @@
 /// A reader's fold over the log.
 ///
 /// It starts from the empty state only at offset 0. At any other offset it needs a base state,
-/// and **accepts a snapshot as base only if it has read every record from the offset that the
-/// snapshot covers on.** A stalled process may append an old snapshot long after it checked that
+/// and **accepts a snapshot as base only if it has read every record after those that the
+/// snapshot covers.** A stalled process may append an old snapshot long after it checked that
 /// the snapshot was new. This reverts no reader: one that has a state ignores snapshots, and one
 /// without sees from the gap between the end of the snapshot and the first record it read that
 /// changes are missing.
@@ -98,8 +98,8 @@
     }
 
     /// Applies the record at `offset`; `None` for one that this release cannot read. An offset
-    /// above the next one means that records were deleted before they were read, see [`Self::set_log_start`]. Returns
-    /// `None` while a base state is searched for.
+    /// above the next one means that records were deleted before they were read, see
+    /// [`Self::set_log_start`]. Returns `None` while a base state is searched for.
     pub fn push(&mut self, offset: u64, record: Option<Record>) -> Option<Effect> {
         if offset < self.next_offset() {
             return Some(Effect::Ignored);
