--- a/crates/cassiarock-entry/src/explain.rs
+++ b/crates/cassiarock-entry/src/explain.rs
@@ -6,7 +6,7 @@
 use axum::routing::post;
 use axum::{Json, Router};
 use cassiarock_id::Name;
-use cassiarock_rule::request::Need;
+use cassiarock_rule::request::Resources;
 use cassiarock_rule::{Explanation, Request};
 use serde::Deserialize;
 use tokio::sync::{mpsc, oneshot};
@@ -53,14 +53,14 @@
 
 impl Question {
     fn request(self) -> Request {
-        let need = Need {
+        let need = Resources {
             cores: self.cores,
             memory: self.memory_mb,
             accelerators: self.accelerators,
         };
         Request::new(self.kind)
             .with_team(self.team)
-            .with_tasks(self.tasks)
+            .with_task_count(self.tasks)
             .with_need(need)
             .with_repeatable(self.repeatable)
     }
--- a/crates/cassiarock-platform/src/publish/publisher.rs
+++ b/crates/cassiarock-platform/src/publish/publisher.rs
@@ -110,7 +110,7 @@
             Ok(set) => set,
             Err(reason) => return Ok(self.rejected(reason, state)),
         };
-        let problems = check::set(&set, &state.configuration);
+        let problems = check::rule_set(&set, &state.configuration);
         if !problems.is_empty() {
             return Ok(self.rejected(wrong(&problems), state));
         }
@@ -225,5 +225,5 @@
 }
 
 fn wrong(problems: &[impl ToString]) -> Reason {
-    Reason::Wrong(problems.iter().map(ToString::to_string).collect())
+    Reason::Invalid(problems.iter().map(ToString::to_string).collect())
 }
--- a/crates/cassiarock-rule/src/lib.rs
+++ b/crates/cassiarock-rule/src/lib.rs
@@ -1,4 +1,5 @@
-//! Rule, configuration and membership records, their checks and the fold over the log.
+//! Rules, configuration and membership: their log records, the validation of rule sets, and the
+//! state folded from the log.
 
 pub mod action;
 pub mod check;
@@ -10,13 +11,13 @@
 pub mod effect;
 pub mod explanation;
 pub mod fold;
+pub mod jitter;
 pub mod membership;
 pub mod record;
 pub mod request;
 pub mod set;
 pub mod snapshot;
 pub mod source;
-pub mod spread;
 pub mod state;
 
 pub use action::Action;
@@ -31,5 +32,5 @@
 pub use membership::{Member, Membership};
 pub use record::Record;
 pub use request::Request;
-pub use set::{Rule, Set};
+pub use set::{Rule, RuleSet};
 pub use state::State;
--- a/crates/cassiarock-rule/src/source.rs
+++ b/crates/cassiarock-rule/src/source.rs
@@ -1,41 +1,41 @@
-//! Reading a rule set from the text of an operator's file: JSON with comments.
+//! Parsing a rule set from an operator's file of JSON with comments.
 
 use crate::check::{self, Problem};
-use crate::{Configuration, Rule, Set};
+use crate::{Configuration, Rule, RuleSet};
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions};
 
-/// Why a text is no rule set to be published. Each tells the line to correct, from 1.
+/// Why a text is not a valid rule set. Lines count from 1.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The text is not JSON with comments.
-    #[error("line {line}: {what}")]
+    #[error("line {line}: {message}")]
     Syntax {
         /// The line.
         line: usize,
-        /// What the parser met.
-        what: String,
+        /// The message of the parser.
+        message: String,
     },
-    /// The text holds something other than a list of rules in `[` and `]`.
+    /// The text is not a list of rules in `[` and `]`.
     #[error("the file is not a list of rules")]
-    Form,
-    /// An element of the list is no rule.
+    NotAList,
+    /// An element of the list is not a rule.
     #[error("line {line}: rule at {position}: {source}")]
     Rule {
         /// The line at which it begins.
         line: usize,
-        /// Its place in the list, from 0.
+        /// Its index in the list, from 0.
         position: usize,
-        /// What is wrong with it.
+        /// Why it cannot be deserialized.
         source: serde_json::Error,
     },
-    /// The rules can be read, but cannot be right.
+    /// The rules can be parsed but are invalid.
     #[error("{}", join(.0))]
     Problems(Vec<Problem>),
 }
 
-/// Reads the rules in `text` and checks them under `configuration`.
+/// Parses the rules in `text` and validates them against `configuration`.
 ///
 /// ```
 /// use cassiarock_rule::{Configuration, source};
@@ -48,16 +48,16 @@
 /// ```
 ///
 /// # Errors
-/// If the text is no rule set, or one that cannot be right.
-pub fn read(text: &str, configuration: &Configuration) -> Result<Set, Error> {
+/// If the text is not a rule set, or the rule set is invalid.
+pub fn read(text: &str, configuration: &Configuration) -> Result<RuleSet, Error> {
     let parsed =
         jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default())
             .map_err(|error| Error::Syntax {
                 line: error.line_display(),
-                what: error.kind().to_string(),
+                message: error.kind().to_string(),
             })?;
     let Some(Value::Array(list)) = parsed.value else {
-        return Err(Error::Form);
+        return Err(Error::NotAList);
     };
     let mut lines = Vec::new();
     let mut rules = Vec::new();
@@ -70,11 +70,15 @@
         })?);
         lines.push(line);
     }
-    checked(Set::new(rules), &lines, configuration)
+    validate(RuleSet::new(rules), &lines, configuration)
 }
 
-fn checked(set: Set, lines: &[usize], configuration: &Configuration) -> Result<Set, Error> {
-    let problems = check::set(&set, configuration);
+fn validate(
+    set: RuleSet,
+    lines: &[usize],
+    configuration: &Configuration,
+) -> Result<RuleSet, Error> {
+    let problems = check::rule_set(&set, configuration);
     if problems.is_empty() {
         return Ok(set);
     }
--- a/crates/cassiarock-rule/tests/decide.rs
+++ b/crates/cassiarock-rule/tests/decide.rs
@@ -1,24 +1,24 @@
-//! Which rule decides.
+//! Matching of requests by conditions, decisions and edits of rule sets.
 
 use cassiarock_id::Wall;
-use cassiarock_rule::request::{Loads, Need};
-use cassiarock_rule::{Action, Condition, Configuration, Edit, Request, Rule, Set, source};
+use cassiarock_rule::request::{PoolLoads, Resources};
+use cassiarock_rule::{Action, Condition, Configuration, Edit, Request, Rule, RuleSet, source};
 use yare::parameterized;
 
 fn condition(text: &str) -> Condition {
     let text = format!(r#"[{{ "name": "a", "when": {{ {text} }}, "then": {{ "run": {{}} }} }}]"#);
     source::read(&text, &Configuration::default())
-        .expect("one rule that can be right")
+        .expect("one valid rule")
         .rules[0]
         .when
         .clone()
 }
 
-fn morning() -> Request {
+fn morning_request() -> Request {
     Request::new("seat-check")
         .with_team("andes")
-        .with_tasks(12)
-        .with_need(Need {
+        .with_task_count(12)
+        .with_need(Resources {
             cores: 2,
             memory: 512,
             accelerators: 1,
@@ -26,7 +26,7 @@
         .with_data_centre("dc-1")
         .with_time(Wall::from_millis((24 + 6) * 3_600_000))
         .with_repeatable(true)
-        .with_loads(Loads::default().with_pool("default", 85))
+        .with_loads(PoolLoads::default().with_pool("default", 85))
 }
 
 #[parameterized(
@@ -42,12 +42,12 @@
     load = { r#""load": { "pool": "default", "percent": { "min": 85 } }"#, r#""load": { "pool": "default", "percent": { "max": 84 } }"# },
     repeatable = { r#""repeatable": true"#, r#""repeatable": false"# },
 )]
-fn a_condition_holds_or_not(holds: &str, fails: &str) {
-    assert!(condition(holds).holds(&morning()));
-    assert!(!condition(fails).holds(&morning()));
+fn a_condition_matches_or_not(matching: &str, other: &str) {
+    assert!(condition(matching).matches(&morning_request()));
+    assert!(!condition(other).matches(&morning_request()));
 }
 
-fn refusing(name: &str, kind: &str) -> Rule {
+fn refusing_rule(name: &str, kind: &str) -> Rule {
     let when = Condition {
         kinds: vec![kind.into()],
         ..Condition::default()
@@ -63,10 +63,10 @@
 
 #[test]
 fn the_first_rule_that_matches_decides_and_edits_change_the_order() {
-    let mut set = Set::new(vec![
-        refusing("a", "x"),
-        refusing("b", "x"),
-        refusing("c", "y"),
+    let mut set = RuleSet::new(vec![
+        refusing_rule("a", "x"),
+        refusing_rule("b", "x"),
+        refusing_rule("c", "y"),
     ]);
     assert_eq!(&*set.decide(&Request::new("x")).rule, "a");
     Edit::Move {
@@ -83,15 +83,15 @@
 }
 
 #[parameterized(
-    insert_taken = { Edit::Insert { at: 0, rule: refusing("a", "x") } },
-    insert_beyond = { Edit::Insert { at: 2, rule: refusing("b", "x") } },
-    move_beyond = { Edit::Move { name: "a".into(), to: 1 } },
+    insert_taken = { Edit::Insert { at: 0, rule: refusing_rule("a", "x") } },
+    insert_out_of_range = { Edit::Insert { at: 2, rule: refusing_rule("b", "x") } },
+    move_out_of_range = { Edit::Move { name: "a".into(), to: 1 } },
     move_unknown = { Edit::Move { name: "b".into(), to: 0 } },
     delete_unknown = { Edit::Delete { name: "b".into() } },
-    replace_unknown = { Edit::Replace { rule: refusing("b", "x") } },
+    replace_unknown = { Edit::Replace { rule: refusing_rule("b", "x") } },
 )]
-fn an_edit_that_does_not_fit_changes_nothing(edit: Edit) {
-    let mut set = Set::new(vec![refusing("a", "x")]);
+fn an_edit_that_cannot_be_applied_changes_nothing(edit: Edit) {
+    let mut set = RuleSet::new(vec![refusing_rule("a", "x")]);
     assert!(edit.apply(&mut set).is_err());
-    assert_eq!(set, Set::new(vec![refusing("a", "x")]));
+    assert_eq!(set, RuleSet::new(vec![refusing_rule("a", "x")]));
 }
