--- a/crates/cassiarock-entry/src/actor.rs
+++ b/crates/cassiarock-entry/src/actor.rs
@@ -19,10 +19,10 @@
 
 /// The pause between two heartbeats on a link: three fit into the silence after which a
 /// link counts as dead, so that one or two may be late.
-const HEARTBEAT: Duration = Duration::from_millis(900);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(900);
 
 /// How long a link with another entry is tried for.
-const DIAL: Duration = Duration::from_secs(5);
+const DIAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What happens to an entry.
 #[derive(Debug)]
@@ -57,8 +57,8 @@
     pub(crate) log: Log,
     pub(crate) events: mpsc::Sender<Event>,
     pub(crate) callers: HashMap<Ticket, oneshot::Sender<Answer>>,
-    pub(crate) tickets: u64,
-    pub(crate) beat: Duration,
+    pub(crate) last_ticket: u64,
+    pub(crate) next_heartbeat: Duration,
     pub(crate) status: watch::Sender<Status>,
 }
 
@@ -68,23 +68,23 @@
     async fn handle(&mut self, batch: Batch, _: &mut Context<Self, Self::Reply>) -> Self::Reply {
         let now = self.clock.now();
         for input in batch.0 {
-            let actions = self.take(input, now);
+            let actions = self.handle_input(input, now);
             self.carry_out(actions, now);
         }
         let actions = self.state.poll(now);
         self.carry_out(actions, now);
-        self.heartbeat(now);
-        self.report();
-        let wake = self.state.wake();
-        Ok(wake.map_or(Duration::MAX, |at| at.saturating_sub(now.up)))
+        self.send_heartbeats(now);
+        self.update_status();
+        let next_poll = self.state.next_poll();
+        Ok(next_poll.map_or(Duration::MAX, |at| at.saturating_sub(now.up)))
     }
 }
 
 impl Entry {
-    fn take(&mut self, input: Input, now: Now) -> Vec<Action> {
+    fn handle_input(&mut self, input: Input, now: Now) -> Vec<Action> {
         match input {
-            Input::Call(call) => self.call(call, now),
-            Input::Link(event) => self.event(event, now),
+            Input::Call(call) => self.handle_call(call, now),
+            Input::Link(event) => self.handle_link_event(event, now),
             Input::Adopt(status) => self.adopt(&status, now),
             Input::Explain(request, reply) => {
                 // The operator may have gone.
@@ -98,31 +98,31 @@
         }
     }
 
-    fn call(&mut self, call: Call, now: Now) -> Vec<Action> {
+    fn handle_call(&mut self, call: Call, now: Now) -> Vec<Action> {
         match call {
             Call::Submit(submission, reply) => {
-                let ticket = self.ticket(reply);
+                let ticket = self.new_ticket(reply);
                 self.state.submit(submission, ticket, now)
             }
             Call::Find(job, wait, reply) => {
-                let ticket = self.ticket(reply);
+                let ticket = self.new_ticket(reply);
                 self.state.find(job, wait, ticket, now)
             }
             Call::Cancel(job, reply) => {
-                let ticket = self.ticket(reply);
+                let ticket = self.new_ticket(reply);
                 self.state.cancel(job, ticket, now)
             }
         }
     }
 
-    fn ticket(&mut self, reply: oneshot::Sender<Answer>) -> Ticket {
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+    fn new_ticket(&mut self, reply: oneshot::Sender<Answer>) -> Ticket {
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
         self.callers.insert(ticket, reply);
         ticket
     }
 
-    fn event(&mut self, event: Event, now: Now) -> Vec<Action> {
+    fn handle_link_event(&mut self, event: Event, now: Now) -> Vec<Action> {
         match event {
             Event::Up(link) => {
                 let peer = link.peer.clone();
@@ -133,7 +133,7 @@
                     Role::Entry => self.state.link_entry(&peer.process),
                 }
             }
-            Event::Frame(peer, frame) => self.state.frame(&peer.process, frame, now),
+            Event::Frame(peer, frame) => self.state.handle_frame(&peer.process, frame, now),
             Event::Down(peer, serial) => {
                 if !self.links.close(&peer.process, serial) {
                     return Vec::new();
@@ -150,7 +150,7 @@
         let Some(state) = &status.state else {
             return Vec::new();
         };
-        self.dial(&state.membership);
+        self.dial_members(&state.membership);
         self.status
             .send_modify(|now| now.adopt(state, status.reachable));
         self.state.adopt(state.clone(), now)
@@ -158,7 +158,7 @@
 
     /// Keeps one link to each member. Links to former ones end here, which tells the
     /// state that they are gone.
-    fn dial(&mut self, membership: &Membership) {
+    fn dial_members(&mut self, membership: &Membership) {
         let members = membership.members.values();
         self.dialers
             .retain(|process, _| is_member(membership, process));
@@ -177,18 +177,19 @@
         }
     }
 
-    fn heartbeat(&mut self, now: Now) {
-        if now.up < self.beat {
+    fn send_heartbeats(&mut self, now: Now) {
+        if now.up < self.next_heartbeat {
             return;
         }
-        self.beat = now.up + HEARTBEAT;
+        self.next_heartbeat = now.up + HEARTBEAT_INTERVAL;
         for process in self.links.peers() {
             self.ping(process, now.wall);
         }
         // An entry that cannot be linked is gone; its successor has another identity.
         let links = &self.links;
-        self.entries
-            .retain(|process, (_, asked)| links.contains(process) || now.up < *asked + DIAL);
+        self.entries.retain(|process, (_, asked)| {
+            links.contains(process) || now.up < *asked + DIAL_TIMEOUT
+        });
     }
 
     fn ping(&self, to: &Process, now: Wall) {
@@ -251,7 +252,7 @@
         }
     }
 
-    fn report(&self) {
+    fn update_status(&self) {
         let (jobs, waiting, running) = self.state.load();
         let (leaving, ready) = (self.state.is_leaving(), self.state.agents() > 0);
         let links = self.links.len();
--- a/crates/cassiarock-entry/src/explain.rs
+++ b/crates/cassiarock-entry/src/explain.rs
@@ -14,10 +14,10 @@
 /// A request to explain, as an operator describes it.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Question {
+struct ExplainRequest {
     kind: Name,
     team: Name,
-    #[serde(default = "one")]
+    #[serde(default = "default_tasks")]
     tasks: u32,
     #[serde(default)]
     cores: u32,
@@ -38,10 +38,10 @@
 
 async fn explain(
     State(inputs): State<mpsc::Sender<Input>>,
-    Json(question): Json<Question>,
+    Json(body): Json<ExplainRequest>,
 ) -> Result<Json<Explanation>, StatusCode> {
     let (reply, answer) = oneshot::channel();
-    let input = Input::Explain(question.request(), reply);
+    let input = Input::Explain(body.request(), reply);
     if inputs.send(input).await.is_err() {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -51,7 +51,7 @@
         .map_err(|_| StatusCode::SERVICE_UNAVAILABLE)
 }
 
-impl Question {
+impl ExplainRequest {
     fn request(self) -> Request {
         let need = Need {
             cores: self.cores,
@@ -66,6 +66,6 @@
     }
 }
 
-const fn one() -> u32 {
+const fn default_tasks() -> u32 {
     1
 }
--- a/crates/cassiarock-entry/src/remove.rs
+++ b/crates/cassiarock-entry/src/remove.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// How long the append is tried; the agent is announced again later if it fails.
-const PATIENCE: Duration = Duration::from_secs(5);
+const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Waits for the log and for this process's turn, and announces the agent unless another
 /// entry has done so.
@@ -31,7 +31,7 @@
     }
     let process = agent.clone();
     let record = Record::new(Wall::now(), by, Body::Left { process });
-    let offset = publish::append(log, &record, known.next(), PATIENCE).await?;
+    let offset = publish::append(log, &record, known.next(), APPEND_TIMEOUT).await?;
     log::info!(agent:% = agent, offset = offset; "removed");
     Ok(())
 }
--- a/crates/cassiarock-entry/src/run.rs
+++ b/crates/cassiarock-entry/src/run.rs
@@ -1,7 +1,7 @@
 //! Sets an entry up, runs it, and takes it down.
 
 use crate::actor::{Batch, Entry, Input};
-use crate::state::{Setting, State};
+use crate::state::{Settings, State};
 use crate::{Error, explain};
 use cassiarock_caller::{self as caller, Call};
 use cassiarock_id::{Process, Wall};
@@ -25,7 +25,7 @@
 use tokio::task::JoinHandle;
 
 /// How long answers on their way to callers may take to leave the sockets.
-const FLUSH: Duration = Duration::from_millis(100);
+const FLUSH_TIME: Duration = Duration::from_millis(100);
 
 /// Where a running entry listens.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -92,7 +92,7 @@
         let (status, statuses) = watch::channel(first);
         let clock = Clock::new();
         let entry = Entry {
-            state: State::new(setting(&settings, &process), clock.now()),
+            state: State::new(state_settings(&settings, &process), clock.now()),
             clock,
             identity: identity.clone(),
             key: key.clone(),
@@ -103,8 +103,8 @@
             dialers: HashMap::new(),
             events: events.clone(),
             callers: HashMap::new(),
-            tickets: 0,
-            beat: Duration::ZERO,
+            last_ticket: 0,
+            next_heartbeat: Duration::ZERO,
             status,
         };
 
@@ -191,7 +191,7 @@
         self.close.send_replace(Stage::Drain);
         // It has panicked otherwise, and nothing is left to wait for.
         let _ = (&mut self.server).await;
-        tokio::time::sleep(FLUSH).await;
+        tokio::time::sleep(FLUSH_TIME).await;
     }
 }
 
@@ -200,7 +200,7 @@
     bound.map_err(|source| Error::Callers { address, source })
 }
 
-fn setting(settings: &settings::Entry, process: &Process) -> Setting {
+fn state_settings(settings: &settings::Entry, process: &Process) -> Settings {
     let policy = &settings.policy;
     let mut dispatch = dispatch::Settings::new(policy.placement, policy.weight);
     dispatch.place = dispatch
@@ -213,7 +213,7 @@
     dispatch.admission.max_jobs = policy.jobs;
     dispatch.health.max_withheld_share = policy.withheld_share;
     dispatch.retry.retries_per_success = policy.retry_share;
-    Setting {
+    Settings {
         me: process.clone(),
         data_centre: settings.data_centre.clone(),
         dispatch,
--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -1,6 +1,6 @@
 //! Which agents can be reached and what they say of themselves.
 
-use super::work::Plan;
+use super::pending::Plan;
 use super::{Action, State};
 use cassiarock_claim::owner::Event;
 use cassiarock_id::{Job, Process};
@@ -22,16 +22,16 @@
         let slots = u16::try_from(member.slots).unwrap_or(u16::MAX);
         let upstream = Upstream::new(agent.clone(), slots)
             .with_location(member.data_centre.clone(), member.rack.clone());
-        let has = member.has.as_ref().map_or(Resources::UNLIMITED, need);
+        let has = member.has.as_ref().map_or(Resources::UNLIMITED, resources);
         let (pool, leaving) = (member.pool.clone(), member.leaving);
         self.agents.insert(agent.clone(), pool.clone());
-        self.silent.remove(agent);
+        self.unreachable.remove(agent);
         let pool = self.pool(&pool);
         pool.add(upstream, has);
         if leaving {
             pool.start_leaving(agent);
         }
-        self.step_all(&Event::AgentReachable(agent.clone()), now)
+        self.step_owners(&Event::AgentReachable(agent.clone()), now)
     }
 
     /// The link with an agent is gone. Tasks placed there stay where they are until the
@@ -41,13 +41,13 @@
             pool.disconnect(agent);
         }
         self.agents.remove(agent);
-        self.note_silent(now);
-        let mut actions = self.step_all(&Event::AgentUnreachable(agent.clone()), now);
-        let repeats = self.works.iter();
-        let repeats = repeats.filter(|(_, work)| matches!(work.plan, Plan::Repeat(_)));
+        self.update_unreachable(now);
+        let mut actions = self.step_owners(&Event::AgentUnreachable(agent.clone()), now);
+        let repeats = self.pending_jobs.iter();
+        let repeats = repeats.filter(|(_, pending)| matches!(pending.plan, Plan::Repeatable(_)));
         let repeats: Vec<Job> = repeats.map(|(job, _)| *job).collect();
         for job in repeats {
-            actions.extend(self.lost_repeat(job, agent, now));
+            actions.extend(self.handle_repeatable_loss(job, agent, now));
         }
         actions
     }
@@ -57,26 +57,26 @@
         self.agents.len()
     }
 
-    pub(super) fn agent_leaves(&mut self, agent: &Process) {
+    pub(super) fn set_agent_leaving(&mut self, agent: &Process) {
         if let Some(pool) = self.pool_of(agent) {
             pool.start_leaving(agent);
         }
     }
 
     /// An agent is to stay after all; what runs there goes on.
-    pub(super) fn agent_stays(&mut self, agent: &Process) {
+    pub(super) fn clear_agent_leaving(&mut self, agent: &Process) {
         if let Some(pool) = self.pool_of(agent) {
             pool.cancel_leaving(agent);
         }
     }
 
-    pub(super) fn pong(&mut self, agent: &Process, pong: &Pong, now: Now) -> Vec<Action> {
+    pub(super) fn handle_pong(&mut self, agent: &Process, pong: &Pong, now: Now) -> Vec<Action> {
         let members = &self.rules.membership.members;
         let ordered = members.get(&agent.name).is_some_and(|m| m.leaving);
         if pong.leaving || ordered {
-            self.agent_leaves(agent);
+            self.set_agent_leaving(agent);
         } else {
-            self.agent_stays(agent);
+            self.clear_agent_leaving(agent);
         }
         if let Some(pool) = self.pool_of(agent) {
             pool.grant(agent, pong.load, now.up);
@@ -104,7 +104,7 @@
     }
 }
 
-fn need(has: &rule::request::Need) -> Resources {
+fn resources(has: &rule::request::Need) -> Resources {
     let cores = u64::from(has.cores);
     let accelerators = u64::from(has.accelerators);
     Resources::new(cores * 1000, u64::from(has.memory), accelerators)
--- a/crates/cassiarock-entry/src/state/answer.rs
+++ b/crates/cassiarock-entry/src/state/answer.rs
@@ -1,6 +1,6 @@
 //! Final answers: made from a job's end, and carried between entries.
 
-use super::work::{Stop, Work};
+use super::pending::{PendingJob, StopReason};
 use cassiarock_caller::{Answer, Output};
 use cassiarock_claim::message::Outcome;
 use cassiarock_claim::owner::{FailureReason, JobOutcome};
@@ -12,17 +12,17 @@
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The answer for a job whose attempt has ended.
-pub(super) fn of(work: &Work, end: JobOutcome) -> Answer {
+pub(super) fn from_outcome(pending: &PendingJob, end: JobOutcome) -> Answer {
     match end {
-        JobOutcome::Complete(outcomes) => complete(work, outcomes),
-        JobOutcome::Failed { reason, outcomes } => failed(work, reason, &outcomes),
-        JobOutcome::Refused => refused(work),
+        JobOutcome::Complete(outcomes) => complete(pending, outcomes),
+        JobOutcome::Failed { reason, outcomes } => failed(pending, reason, &outcomes),
+        JobOutcome::Refused => refused(pending),
         JobOutcome::Mismatch => Answer::Conflict,
     }
 }
 
-fn complete(work: &Work, outcomes: Vec<Outcome>) -> Answer {
-    let tasks = work.submission.tasks.iter().zip(&outcomes);
+fn complete(pending: &PendingJob, outcomes: Vec<Outcome>) -> Answer {
+    let tasks = pending.submission.tasks.iter().zip(&outcomes);
     let results: Option<Vec<Output>> = tasks
         .map(|(task, outcome)| match outcome {
             Outcome::Done(value) => Some(Output {
@@ -35,33 +35,33 @@
     match results {
         Some(results) => Answer::Complete { results },
         // Every task had begun; those that were stopped have no result.
-        None if work.stopped == Some(Stop::Cancelled) => Answer::Cancelled {
-            ran: names(work, |_| true),
+        None if pending.stopped == Some(StopReason::Cancelled) => Answer::Cancelled {
+            ran: task_ids(pending, |_| true),
             not_run: Vec::new(),
         },
         None => Answer::Failed {
-            reason: failure(work),
-            ran: names(work, |_| true),
+            reason: failure(pending),
+            ran: task_ids(pending, |_| true),
         },
     }
 }
 
-fn failed(work: &Work, reason: FailureReason, outcomes: &[Option<Outcome>]) -> Answer {
+fn failed(pending: &PendingJob, reason: FailureReason, outcomes: &[Option<Outcome>]) -> Answer {
     // Only a cancellation that ran to its end proves that the others never started.
-    let sure = reason == FailureReason::Cancelled;
-    let ran = names(work, |task| !sure || outcomes[task].is_some());
+    let proven = reason == FailureReason::Cancelled;
+    let ran = task_ids(pending, |task| !proven || outcomes[task].is_some());
     // An attempt that took over learns of the cancellation from the agents.
-    let untold = work.stopped.is_none() && work.failure.is_none();
-    if sure && (untold || work.stopped == Some(Stop::Cancelled)) {
-        let not_run = names(work, |task| outcomes[task].is_none());
+    let unattributed = pending.stopped.is_none() && pending.failure.is_none();
+    if proven && (unattributed || pending.stopped == Some(StopReason::Cancelled)) {
+        let not_run = task_ids(pending, |task| outcomes[task].is_none());
         return Answer::Cancelled { ran, not_run };
     }
-    if reason == FailureReason::Lost && work.stopped == Some(Stop::Cancelled) {
+    if reason == FailureReason::Lost && pending.stopped == Some(StopReason::Cancelled) {
         let not_run = Vec::new();
         return Answer::Cancelled { ran, not_run };
     }
     let reason = match reason {
-        FailureReason::Cancelled => failure(work),
+        FailureReason::Cancelled => failure(pending),
         FailureReason::Lost => "the end of a task that was started is not known".to_owned(),
         FailureReason::Unprovable => "an agent that may have run tasks of it is gone".to_owned(),
         FailureReason::Forgotten => "the id is older than what is remembered".to_owned(),
@@ -71,43 +71,43 @@
     Answer::Failed { reason, ran }
 }
 
-fn refused(work: &Work) -> Answer {
-    match &work.stopped {
-        Some(Stop::Cancelled) => Answer::Cancelled {
+fn refused(pending: &PendingJob) -> Answer {
+    match &pending.stopped {
+        Some(StopReason::Cancelled) => Answer::Cancelled {
             ran: Vec::new(),
-            not_run: names(work, |_| true),
+            not_run: task_ids(pending, |_| true),
         },
-        Some(Stop::Refused {
+        Some(StopReason::Refused {
             reason,
             retry_after,
         }) => Answer::Refused {
             reason: reason.clone(),
             retry_after: *retry_after,
         },
-        Some(Stop::Deadline) => Answer::Refused {
+        Some(StopReason::Deadline) => Answer::Refused {
             reason: "the deadline passed before any task could start".to_owned(),
             retry_after: RETRY_AFTER,
         },
-        Some(Stop::Failed) | None => Answer::Refused {
+        Some(StopReason::Failed) | None => Answer::Refused {
             reason: "an earlier submission of this id was refused".to_owned(),
             retry_after: RETRY_AFTER,
         },
     }
 }
 
-fn failure(work: &Work) -> String {
-    match (&work.failure, &work.stopped) {
+fn failure(pending: &PendingJob) -> String {
+    match (&pending.failure, &pending.stopped) {
         (Some((task, reason)), _) => {
-            let id = &work.submission.tasks[task.index()].id;
+            let id = &pending.submission.tasks[task.index()].id;
             format!("task {id} failed: {reason}")
         }
-        (None, Some(Stop::Deadline)) => "the deadline passed".to_owned(),
+        (None, Some(StopReason::Deadline)) => "the deadline passed".to_owned(),
         (None, _) => "a task failed".to_owned(),
     }
 }
 
-fn names(work: &Work, wanted: impl Fn(usize) -> bool) -> Vec<Name> {
-    let tasks = work.submission.tasks.iter().enumerate();
+fn task_ids(pending: &PendingJob, wanted: impl Fn(usize) -> bool) -> Vec<Name> {
+    let tasks = pending.submission.tasks.iter().enumerate();
     tasks
         .filter(|(at, _)| wanted(*at))
         .map(|(_, task)| task.id.clone())
@@ -116,7 +116,7 @@
 
 /// A final answer on its way between entries.
 #[derive(Deserialize, Serialize)]
-enum Stored {
+enum EncodedAnswer {
     Complete(Vec<(Name, String)>),
     Failed(String, Vec<Name>),
     Refused(String, u64),
@@ -132,18 +132,20 @@
             let results = results
                 .iter()
                 .map(|output| Some((output.id.clone(), text(output)?)));
-            Stored::Complete(results.collect::<Option<_>>()?)
+            EncodedAnswer::Complete(results.collect::<Option<_>>()?)
         }
-        Answer::Failed { reason, ran } => Stored::Failed(reason.clone(), ran.clone()),
+        Answer::Failed { reason, ran } => EncodedAnswer::Failed(reason.clone(), ran.clone()),
         Answer::Refused {
             reason,
             retry_after,
         } => {
             let millis = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
-            Stored::Refused(reason.clone(), millis)
+            EncodedAnswer::Refused(reason.clone(), millis)
         }
-        Answer::Cancelled { ran, not_run } => Stored::Cancelled(ran.clone(), not_run.clone()),
-        Answer::Conflict => Stored::Conflict,
+        Answer::Cancelled { ran, not_run } => {
+            EncodedAnswer::Cancelled(ran.clone(), not_run.clone())
+        }
+        Answer::Conflict => EncodedAnswer::Conflict,
         _ => return None,
     };
     serde_json::to_vec(&stored).ok()
@@ -152,7 +154,7 @@
 /// The answer that `bytes` encode.
 pub(super) fn decode(bytes: &[u8]) -> Option<Answer> {
     let answer = match serde_json::from_slice(bytes).ok()? {
-        Stored::Complete(results) => {
+        EncodedAnswer::Complete(results) => {
             let output = |(id, value): (Name, String)| Output {
                 id,
                 value: value.into_bytes().into(),
@@ -161,13 +163,13 @@
                 results: results.into_iter().map(output).collect(),
             }
         }
-        Stored::Failed(reason, ran) => Answer::Failed { reason, ran },
-        Stored::Refused(reason, millis) => Answer::Refused {
+        EncodedAnswer::Failed(reason, ran) => Answer::Failed { reason, ran },
+        EncodedAnswer::Refused(reason, millis) => Answer::Refused {
             reason,
             retry_after: Duration::from_millis(millis),
         },
-        Stored::Cancelled(ran, not_run) => Answer::Cancelled { ran, not_run },
-        Stored::Conflict => Answer::Conflict,
+        EncodedAnswer::Cancelled(ran, not_run) => Answer::Cancelled { ran, not_run },
+        EncodedAnswer::Conflict => Answer::Conflict,
     };
     Some(answer)
 }
--- a/crates/cassiarock-entry/src/state/calls.rs
+++ b/crates/cassiarock-entry/src/state/calls.rs
@@ -1,7 +1,7 @@
 //! What callers ask.
 
-use super::repeat::Repeat;
-use super::work::{Plan, Stop, Work};
+use super::pending::{PendingJob, Plan, StopReason};
+use super::repeatable::RepeatableJob;
 use super::{Action, State, Ticket};
 use cassiarock_caller::{self as caller, Answer, Submission};
 use cassiarock_claim::Ballot;
@@ -16,17 +16,17 @@
 
 /// What a caller is told to wait when the entry is leaving: the balancer needs this long
 /// to see it.
-const LEAVING_RETRY: Duration = Duration::from_secs(1);
+const LEAVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What a caller is told to wait when a rule refuses it: rules change by the minute.
-const RULE_RETRY: Duration = Duration::from_secs(60);
+const RULE_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Rules count memory in megabytes of 2^20 bytes, as callers declare it.
 const MEGABYTE: u64 = 1 << 20;
 
 /// The pause before an unanswered question is asked again: many round trips, few within
 /// a job's life.
-pub(super) const RETRY: Duration = Duration::from_millis(500);
+pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl State {
     /// A caller submits a job, or submits it again.
@@ -37,7 +37,7 @@
         now: Now,
     ) -> Vec<Action> {
         let job = submission.job;
-        if job.issued() > now.wall.plus(self.setting.clock_skew) {
+        if job.issued() > now.wall.plus(self.settings.clock_skew) {
             // Such an id would pass for one born in a view that is not settled yet.
             let answer = Answer::Invalid {
                 field: "id".to_owned(),
@@ -45,11 +45,11 @@
             };
             return vec![Action::Answer(ticket, answer)];
         }
-        if let Some(work) = self.works.get_mut(&job) {
-            if work.submission.digest != submission.digest {
+        if let Some(pending) = self.pending_jobs.get_mut(&job) {
+            if pending.submission.digest != submission.digest {
                 return vec![Action::Answer(ticket, Answer::Conflict)];
             }
-            work.waiting.push(ticket);
+            pending.waiting.push(ticket);
             return Vec::new();
         }
         if let Some((digest, answer)) = self.answers.get(&job) {
@@ -62,17 +62,17 @@
             return vec![Action::Answer(ticket, answer)];
         }
         // Nobody remembers a job of this age: it may have run.
-        if !submission.repeatable && job.issued() <= now.wall.minus(self.setting.remembered) {
+        if !submission.repeatable && job.issued() <= now.wall.minus(self.settings.remembered) {
             return vec![Action::Answer(ticket, Answer::Unknown)];
         }
         if self.leaving {
             let answer = Answer::Unavailable {
                 reason: "the entry is leaving".to_owned(),
-                retry_after: LEAVING_RETRY,
+                retry_after: LEAVING_RETRY_AFTER,
             };
             return vec![Action::Answer(ticket, answer)];
         }
-        self.open(submission, ticket, now)
+        self.accept(submission, ticket, now)
     }
 
     /// A caller cancels a job.
@@ -80,37 +80,37 @@
         if let Some((_, answer)) = self.answers.get(&job) {
             return vec![Action::Answer(ticket, answer.clone())];
         }
-        if let Some(work) = self.works.get_mut(&job) {
-            work.waiting.push(ticket);
-            return self.stop(job, Stop::Cancelled, now);
+        if let Some(pending) = self.pending_jobs.get_mut(&job) {
+            pending.waiting.push(ticket);
+            return self.stop(job, StopReason::Cancelled, now);
         }
-        self.seek(job, ticket, None, true, now)
+        self.look_up(job, ticket, None, true, now)
     }
 
     /// Starts nothing more of a job and ends it as soon as it is sure what ran.
-    pub(super) fn stop(&mut self, job: Job, stop: Stop, now: Now) -> Vec<Action> {
-        let Some(work) = self.works.get_mut(&job) else {
+    pub(super) fn stop(&mut self, job: Job, stop: StopReason, now: Now) -> Vec<Action> {
+        let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return Vec::new();
         };
-        let cancelled = stop == Stop::Cancelled;
-        work.stopped.get_or_insert(stop);
-        let pool = work.pool.clone();
-        let follow = work.follow.clone();
+        let cancelled = stop == StopReason::Cancelled;
+        pending.stopped.get_or_insert(stop);
+        let pool = pending.pool.clone();
+        let remote = pending.remote_owner.clone();
         self.pool(&pool).withdraw(job);
-        if let Some(follow) = follow {
+        if let Some(remote) = remote {
             // A deadline here is this caller's; the owner's caller has its own.
             return cancelled
-                .then(|| follow.attach(job, true))
+                .then(|| remote.attach(job, true))
                 .into_iter()
                 .collect();
         }
-        match &self.works[&job].plan {
-            Plan::Once(_) => self.step(job, Event::Cancelled, now),
-            Plan::Repeat(_) => self.stop_repeat(job, now),
+        match &self.pending_jobs[&job].plan {
+            Plan::AtMostOnce(_) => self.step_owner(job, Event::Cancelled, now),
+            Plan::Repeatable(_) => self.stop_repeatable(job, now),
         }
     }
 
-    fn open(&mut self, submission: Submission, ticket: Ticket, now: Now) -> Vec<Action> {
+    fn accept(&mut self, submission: Submission, ticket: Ticket, now: Now) -> Vec<Action> {
         let job = submission.job;
         let decision = self.rules.rules.decide(&self.request(&submission, now));
         log::info!(
@@ -121,94 +121,94 @@
         let (run, refusal) = match decision.action {
             rule::Action::Run(run) => (run, None),
             rule::Action::Refuse { reason } => {
-                let refusal = Stop::Refused {
+                let refusal = StopReason::Refused {
                     reason: reason.to_string(),
-                    retry_after: RULE_RETRY,
+                    retry_after: RULE_RETRY_AFTER,
                 };
                 (rule::action::Run::default(), Some(refusal))
             }
         };
-        let within = submission.deadline.min(run.deadline);
-        let expires = now.up + within;
-        let refusal = refusal.or_else(|| self.offer(&submission, &run.pool, within, now));
-        let work = Work {
+        let time_left = submission.deadline.min(run.deadline);
+        let expires = now.up + time_left;
+        let refusal = refusal.or_else(|| self.admit(&submission, &run.pool, time_left, now));
+        let pending = PendingJob {
             plan: self.plan(&submission),
             submission: Arc::new(submission),
             rule: decision.rule,
             pool: run.pool,
             arrived: now.up,
             expires,
-            retry: now.up + RETRY,
+            retry: now.up + RETRY_INTERVAL,
             waiting: vec![ticket],
             attached: Vec::new(),
-            follow: None,
+            remote_owner: None,
             owner_address: None,
             stopped: None,
             failure: None,
         };
-        self.wakes.insert((work.wake(), job));
-        self.works.insert(job, work);
+        self.timers.insert((pending.next_check(), job));
+        self.pending_jobs.insert(job, pending);
         match refusal {
             Some(refusal) => self.refuse(job, refusal, now),
-            None => self.begin(job, now),
+            None => self.start_job(job, now),
         }
     }
 
     /// Asks the pool whether it takes the job; why not, if it does not.
-    fn offer(
+    fn admit(
         &mut self,
         submission: &Submission,
         pool: &Name,
-        within: Duration,
+        time_left: Duration,
         now: Now,
-    ) -> Option<Stop> {
-        let offered = offered(submission, within);
-        match self.pool(pool).admit(&offered, now.up) {
+    ) -> Option<StopReason> {
+        let dispatched = dispatch_submission(submission, time_left);
+        match self.pool(pool).admit(&dispatched, now.up) {
             dispatch::Answer::Admit => None,
             dispatch::Answer::Refuse {
                 reason,
                 retry_after,
-            } => Some(Stop::Refused {
+            } => Some(StopReason::Refused {
                 reason: reason.as_str().to_owned(),
-                retry_after: retry_after.unwrap_or(RULE_RETRY),
+                retry_after: retry_after.unwrap_or(RULE_RETRY_AFTER),
             }),
         }
     }
 
     fn plan(&mut self, submission: &Submission) -> Plan {
-        self.serial += 1;
+        self.last_serial += 1;
         let tasks = u16::try_from(submission.tasks.len()).unwrap_or(u16::MAX);
-        let me = self.setting.me.clone();
-        let ballot = Ballot::new(Ballot::UNCLAIMED, me).with_serial(self.serial);
+        let me = self.settings.me.clone();
+        let ballot = Ballot::new(Ballot::UNCLAIMED, me).with_serial(self.last_serial);
         if submission.repeatable {
-            return Plan::Repeat(Repeat::new(ballot, tasks));
+            return Plan::Repeatable(RepeatableJob::new(ballot, tasks));
         }
         let owner = Owner::new(submission.job, submission.digest, tasks, ballot);
-        Plan::Once(Box::new(owner))
+        Plan::AtMostOnce(Box::new(owner))
     }
 
-    fn begin(&mut self, job: Job, now: Now) -> Vec<Action> {
-        let work = &self.works[&job];
-        if matches!(work.plan, Plan::Repeat(_)) {
-            let tasks = (0..work.tasks()).map(cassiarock_id::Task).collect();
+    fn start_job(&mut self, job: Job, now: Now) -> Vec<Action> {
+        let pending = &self.pending_jobs[&job];
+        if matches!(pending.plan, Plan::Repeatable(_)) {
+            let tasks = (0..pending.task_count()).map(cassiarock_id::Task).collect();
             self.release(job, tasks, now);
             return Vec::new();
         }
-        self.step(job, Event::Submitted, now)
+        self.step_owner(job, Event::Submitted, now)
     }
 
     /// Refuses a job that has not begun. "Not run" is said only after the claim was
     /// closed: another entry may have the same job.
-    fn refuse(&mut self, job: Job, refusal: Stop, now: Now) -> Vec<Action> {
-        let Some(work) = self.works.get_mut(&job) else {
+    fn refuse(&mut self, job: Job, refusal: StopReason, now: Now) -> Vec<Action> {
+        let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return Vec::new();
         };
-        work.stopped = Some(refusal);
-        if matches!(work.plan, Plan::Repeat(_)) {
-            return self.stop_repeat(job, now);
+        pending.stopped = Some(refusal);
+        if matches!(pending.plan, Plan::Repeatable(_)) {
+            return self.stop_repeatable(job, now);
         }
-        let mut actions = self.step(job, Event::Cancelled, now);
-        actions.extend(self.step(job, Event::Submitted, now));
+        let mut actions = self.step_owner(job, Event::Cancelled, now);
+        actions.extend(self.step_owner(job, Event::Submitted, now));
         actions
     }
 
@@ -219,35 +219,35 @@
             .with_tasks(tasks)
             .with_need(job_need(submission))
             .with_repeatable(submission.repeatable);
-        self.received(request, now)
+        self.with_context(request, now)
     }
 
     /// The request as it arrives at this entry at this time.
-    pub(super) fn received(&self, request: rule::Request, now: Now) -> rule::Request {
+    pub(super) fn with_context(&self, request: rule::Request, now: Now) -> rule::Request {
         request
-            .with_data_centre(self.setting.data_centre.clone())
+            .with_data_centre(self.settings.data_centre.clone())
             .with_loads(self.loads.clone())
             .with_time(now.wall)
     }
 }
 
 /// A job as the pool sees it. Declared needs and run times are the caller's guess.
-fn offered(submission: &Submission, within: Duration) -> dispatch::Submission {
+fn dispatch_submission(submission: &Submission, time_left: Duration) -> dispatch::Submission {
     let tasks = &submission.tasks;
     let need = tasks.iter().map(|task| task_need(&task.need));
     let declared = tasks.iter().filter_map(|task| task.run).max();
-    let offered = dispatch::Submission::new(
+    let dispatched = dispatch::Submission::new(
         submission.job,
         submission.team.clone(),
         submission.kind.clone(),
         tasks.len(),
     );
-    let offered = offered
+    let dispatched = dispatched
         .with_need(need.fold(Resources::default(), Resources::max))
-        .with_deadline(within);
+        .with_deadline(time_left);
     match declared {
-        Some(declared) => offered.with_declared_run_time(declared),
-        None => offered,
+        Some(declared) => dispatched.with_declared_run_time(declared),
+        None => dispatched,
     }
 }
 
--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/claimed.rs
@@ -1,6 +1,6 @@
 //! Carries out what the owners of jobs decide.
 
-use super::work::{Plan, Stop, Work};
+use super::pending::{PendingJob, Plan, StopReason};
 use super::{Action, State, answer, calls};
 use cassiarock_claim::message::{ClaimRequest, Outcome, Start};
 use cassiarock_claim::owner::{self, Event};
@@ -13,15 +13,15 @@
 
 /// How long after the deadline the proof that nothing ran may still come. An answer is
 /// due at once, but a round trip turns most "may have run" into a true "not run".
-const GRACE: Duration = Duration::from_millis(50);
+const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
 impl State {
     /// Takes an owner one step on.
-    pub(super) fn step(&mut self, job: Job, event: Event, now: Now) -> Vec<Action> {
-        let Some(work) = self.works.get_mut(&job) else {
+    pub(super) fn step_owner(&mut self, job: Job, event: Event, now: Now) -> Vec<Action> {
+        let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return Vec::new();
         };
-        let Plan::Once(owner) = &mut work.plan else {
+        let Plan::AtMostOnce(owner) = &mut pending.plan else {
             return Vec::new();
         };
         let wanted = owner.step(event, &self.views, now.wall);
@@ -33,96 +33,98 @@
     }
 
     /// Takes every owner one step on.
-    pub(super) fn step_all(&mut self, event: &Event, now: Now) -> Vec<Action> {
-        let jobs: Vec<Job> = self.works.keys().copied().collect();
+    pub(super) fn step_owners(&mut self, event: &Event, now: Now) -> Vec<Action> {
+        let jobs: Vec<Job> = self.pending_jobs.keys().copied().collect();
         let mut actions = Vec::new();
         for job in jobs {
-            actions.extend(self.step(job, event.clone(), now));
+            actions.extend(self.step_owner(job, event.clone(), now));
         }
         actions
     }
 
     /// Repeats and deadlines that are due.
-    pub(super) fn wake_works(&mut self, now: Now) -> Vec<Action> {
+    pub(super) fn check_due_jobs(&mut self, now: Now) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some((at, job)) = self.wakes.first().copied() {
+        while let Some((at, job)) = self.timers.first().copied() {
             if at > now.up {
                 break;
             }
-            actions.extend(self.wake_work(job, now));
+            actions.extend(self.check_job(job, now));
         }
         actions
     }
 
-    pub(super) fn answered(&mut self, answered: Answered, now: Now) -> Vec<Action> {
+    pub(super) fn handle_answered(&mut self, answered: Answered, now: Now) -> Vec<Action> {
         let job = answered.job;
-        if !self.is_attempt(job, |owner| owner.same_owner(&answered.ballot)) {
+        if !self.matches_attempt(job, |owner| owner.same_owner(&answered.ballot)) {
             return Vec::new();
         }
-        self.note_address(job, answered.owner);
+        self.set_owner_address(job, answered.owner);
         let event = Event::ClaimReply {
             view: answered.view,
             reply: answered.answer,
         };
-        self.step(job, event, now)
+        self.step_owner(job, event, now)
     }
 
-    pub(super) fn reported(
+    pub(super) fn handle_reported(
         &mut self,
         agent: &Process,
         reported: Reported,
         now: Now,
     ) -> Vec<Action> {
         let job = reported.job;
-        if !self.is_attempt(job, |owner| *owner == reported.ballot) {
+        if !self.matches_attempt(job, |owner| *owner == reported.ballot) {
             return Vec::new();
         }
-        self.note_address(job, reported.owner);
+        self.set_owner_address(job, reported.owner);
         let agent = agent.clone();
         let event = match reported.report {
             Ok(report) => Event::Report { agent, report },
             Err(reject) => Event::FenceRejected { agent, reject },
         };
-        self.step(job, event, now)
+        self.step_owner(job, event, now)
     }
 
-    pub(super) fn ended(&mut self, agent: &Process, ended: Ended, now: Now) -> Vec<Action> {
+    pub(super) fn handle_ended(&mut self, agent: &Process, ended: Ended, now: Now) -> Vec<Action> {
         let key = TaskKey::new(ended.job, ended.task);
-        let end = end(&ended);
+        let end = dispatch_outcome(&ended);
         if let Some(pool) = self.pool_of(agent) {
             pool.end(agent, &key, end, ended.load, now.up);
         }
-        let Some(work) = self.works.get_mut(&ended.job) else {
+        let Some(pending) = self.pending_jobs.get_mut(&ended.job) else {
             metrics::counter!("cassiarock_entry_late_outcomes_total").increment(1);
             return Vec::new();
         };
-        if ended.task.index() >= work.submission.tasks.len() {
+        if ended.task.index() >= pending.submission.tasks.len() {
             return Vec::new();
         }
         if let Outcome::Failed(reason) = &ended.outcome {
-            work.failure.get_or_insert((ended.task, reason.clone()));
+            pending.failure.get_or_insert((ended.task, reason.clone()));
         }
-        let failed = work.failure.is_some() && work.stopped.is_none();
+        let failed = pending.failure.is_some() && pending.stopped.is_none();
         let (ballot, task, outcome) = (ended.ballot, ended.task, ended.outcome);
-        let mut actions = match &work.plan {
-            Plan::Once(_) => {
+        let mut actions = match &pending.plan {
+            Plan::AtMostOnce(_) => {
                 let event = Event::Ended {
                     ballot,
                     task,
                     outcome,
                 };
-                self.step(ended.job, event, now)
+                self.step_owner(ended.job, event, now)
+            }
+            Plan::Repeatable(_) => {
+                self.handle_repeatable_end(ended.job, &ballot, task, outcome, now)
             }
-            Plan::Repeat(_) => self.ended_repeat(ended.job, &ballot, task, outcome, now),
         };
         if failed {
             // The job cannot be complete any more: what has not begun would be wasted.
-            actions.extend(self.stop(ended.job, Stop::Failed, now));
+            actions.extend(self.stop(ended.job, StopReason::Failed, now));
         }
         actions
     }
 
-    pub(super) fn rejected(
+    pub(super) fn handle_rejected(
         &mut self,
         agent: &Process,
         rejected: Rejected,
@@ -132,11 +134,11 @@
         if let Some(pool) = self.pool_of(agent) {
             pool.reject(agent, &key, rejected.load, now.up);
         }
-        let Some(work) = self.works.get(&rejected.job) else {
+        let Some(pending) = self.pending_jobs.get(&rejected.job) else {
             return Vec::new();
         };
-        if matches!(work.plan, Plan::Repeat(_)) {
-            return self.rejected_repeat(&rejected, now);
+        if matches!(pending.plan, Plan::Repeatable(_)) {
+            return self.handle_repeatable_reject(&rejected, now);
         }
         let event = Event::Rejected {
             ballot: rejected.ballot,
@@ -144,52 +146,59 @@
             placement: rejected.placement,
             reject: rejected.reject,
         };
-        self.step(rejected.job, event, now)
+        self.step_owner(rejected.job, event, now)
     }
 
-    fn wake_work(&mut self, job: Job, now: Now) -> Vec<Action> {
-        let Some(work) = self.works.get(&job) else {
-            self.wakes.retain(|(_, other)| *other != job);
+    fn check_job(&mut self, job: Job, now: Now) -> Vec<Action> {
+        let Some(pending) = self.pending_jobs.get(&job) else {
+            self.timers.retain(|(_, other)| *other != job);
             return Vec::new();
         };
-        if work.expires > now.up {
-            self.reschedule(job, |work| work.retry = now.up + calls::RETRY);
+        if pending.expires > now.up {
+            self.update_timer(job, |pending| {
+                pending.retry = now.up + calls::RETRY_INTERVAL
+            });
             return self.retry(job, now);
         }
-        if work.stopped.is_some() {
+        if pending.stopped.is_some() {
             // The grace is over, or a cancellation has outlived its deadline.
             return self.expire(job, now);
         }
-        self.reschedule(job, |work| {
-            work.expires = now.up + GRACE;
-            work.retry = work.expires;
+        self.update_timer(job, |pending| {
+            pending.expires = now.up + DEADLINE_GRACE;
+            pending.retry = pending.expires;
         });
-        self.stop(job, Stop::Deadline, now)
+        self.stop(job, StopReason::Deadline, now)
     }
 
     fn retry(&mut self, job: Job, now: Now) -> Vec<Action> {
-        if self.is_follow_late(job, now) {
-            return self.lose_owner(job, now);
+        if self.is_owner_link_overdue(job, now) {
+            return self.take_over(job, now);
         }
-        self.step(job, Event::Retry, now)
+        self.step_owner(job, Event::Retry, now)
     }
 
     fn expire(&mut self, job: Job, now: Now) -> Vec<Action> {
-        match &self.works[&job].plan {
-            Plan::Once(_) => self.step(job, Event::Expired, now),
-            Plan::Repeat(_) => self.expire_repeat(job, now),
+        match &self.pending_jobs[&job].plan {
+            Plan::AtMostOnce(_) => self.step_owner(job, Event::Expired, now),
+            Plan::Repeatable(_) => self.expire_repeatable(job, now),
         }
     }
 
     fn carry_out(&mut self, job: Job, action: owner::Action, now: Now) -> Vec<Action> {
         match action {
-            owner::Action::RequestClaim { keeper, request } => self.ask(keeper, request, now),
+            owner::Action::RequestClaim { keeper, request } => {
+                self.request_claim(keeper, request, now)
+            }
             owner::Action::Fence { agent, fence } => {
                 metrics::counter!("cassiarock_entry_fences_total").increment(1);
                 vec![Action::Send(agent, Frame::Fence(fence))]
             }
             owner::Action::Start { agent, start } => {
-                let run = self.works.get(&job).map(|work| rerun(work, &start, now));
+                let run = self
+                    .pending_jobs
+                    .get(&job)
+                    .map(|pending| repeated_run(pending, &start, now));
                 let frame = run.map(|run| Frame::Run {
                     runs: vec![run],
                     ask: cassiarock_policy::load::SlotDemand::default(),
@@ -204,53 +213,53 @@
                 self.release_startable(job, now);
                 Vec::new()
             }
-            owner::Action::Attach(owner) => self.follow(job, owner, now),
+            owner::Action::Attach(owner) => self.attach_to_owner(job, owner, now),
             owner::Action::Finish(end) => {
-                let Some(work) = self.works.get(&job) else {
+                let Some(pending) = self.pending_jobs.get(&job) else {
                     return Vec::new();
                 };
-                let answer = answer::of(work, end);
+                let answer = answer::from_outcome(pending, end);
                 self.finish(job, answer, now)
             }
         }
     }
 
     /// Asks the keeper, or does without it at once if it is out of reach.
-    fn ask(&mut self, keeper: Process, request: ClaimRequest, now: Now) -> Vec<Action> {
+    fn request_claim(&mut self, keeper: Process, request: ClaimRequest, now: Now) -> Vec<Action> {
         if self.agents.contains_key(&keeper) {
             metrics::counter!("cassiarock_entry_asks_total").increment(1);
             return vec![Action::Send(keeper, Frame::Ask(request))];
         }
-        self.step(request.job, Event::AgentUnreachable(keeper), now)
+        self.step_owner(request.job, Event::AgentUnreachable(keeper), now)
     }
 
     /// Queues the tasks that may start and are not queued yet.
     fn release_startable(&mut self, job: Job, now: Now) {
-        let Some(work) = self.works.get(&job) else {
+        let Some(pending) = self.pending_jobs.get(&job) else {
             return;
         };
-        let Plan::Once(owner) = &work.plan else {
+        let Plan::AtMostOnce(owner) = &pending.plan else {
             return;
         };
         let startable: Vec<Task> = owner.startable_tasks().collect();
-        let pool = work.pool.clone();
+        let pool = pending.pool.clone();
         // The owner knows what may start, the pool what waits already.
         self.pool(&pool).withdraw(job);
         self.release(job, startable, now);
     }
 
-    fn is_attempt(&self, job: Job, same: impl Fn(&cassiarock_claim::Ballot) -> bool) -> bool {
-        let Some(work) = self.works.get(&job) else {
+    fn matches_attempt(&self, job: Job, same: impl Fn(&cassiarock_claim::Ballot) -> bool) -> bool {
+        let Some(pending) = self.pending_jobs.get(&job) else {
             return false;
         };
-        match &work.plan {
-            Plan::Once(owner) => same(owner.ballot()),
-            Plan::Repeat(_) => false,
+        match &pending.plan {
+            Plan::AtMostOnce(owner) => same(owner.ballot()),
+            Plan::Repeatable(_) => false,
         }
     }
 }
 
-fn end(ended: &Ended) -> dispatch::Outcome {
+fn dispatch_outcome(ended: &Ended) -> dispatch::Outcome {
     match &ended.outcome {
         Outcome::Done(_) => dispatch::Outcome::Done(Duration::from_millis(ended.ran_ms)),
         Outcome::Failed(_) => dispatch::Outcome::Failed,
@@ -258,8 +267,8 @@
     }
 }
 
-fn rerun(work: &Work, start: &Start, now: Now) -> Run {
-    let left = work.expires.saturating_sub(now.up);
+fn repeated_run(pending: &PendingJob, start: &Start, now: Now) -> Run {
+    let left = pending.expires.saturating_sub(now.up);
     Run {
         job: start.job,
         digest: start.digest,
@@ -267,14 +276,16 @@
         keeper: start.keeper.clone(),
         view: start.view,
         start_by: start.start_by,
-        kind: work.submission.kind.clone(),
+        kind: pending.submission.kind.clone(),
         limit_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
         tasks: vec![Item {
             task: start.task,
             placement: start.placement,
             lateness: 0,
             may_wait: true,
-            payload: work.submission.tasks[start.task.index()].payload.to_vec(),
+            payload: pending.submission.tasks[start.task.index()]
+                .payload
+                .to_vec(),
         }],
     }
 }
--- a/crates/cassiarock-entry/src/state/explain.rs
+++ b/crates/cassiarock-entry/src/state/explain.rs
@@ -7,7 +7,7 @@
 impl State {
     /// Which rule would decide `request` here and now, and why the earlier ones would not.
     pub(crate) fn explain(&self, request: Request, now: Now) -> Explanation {
-        let request = self.received(request, now);
+        let request = self.with_context(request, now);
         Explanation::new(self.rules.version, &self.rules.rules, &request)
     }
 }
--- a/crates/cassiarock-entry/src/state/follow.rs
+++ b/crates/cassiarock-entry/src/state/follow.rs
@@ -1,6 +1,6 @@
 //! Jobs that another entry owns: this one attaches there and passes the answer on.
 
-use super::work::{Follow, Plan, Stop, Work};
+use super::pending::{PendingJob, Plan, RemoteOwner, StopReason};
 use super::{Action, State, Ticket, answer};
 use cassiarock_caller::Answer;
 use cassiarock_claim::Ballot;
@@ -12,14 +12,14 @@
 
 /// How long a link with the owner may take to come about. Longer than a handshake across
 /// regions, shorter than a caller's patience.
-const LINK: Duration = Duration::from_secs(1);
+const OWNER_LINK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a caller's question about a job of another entry is followed.
-const LOOK_UP: Duration = Duration::from_secs(2);
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A caller's question about a job that this entry has not taken in.
 #[derive(Debug)]
-pub(super) struct Follower {
+pub(super) struct Lookup {
     pub(super) tickets: Vec<Ticket>,
     /// When it is answered with what is known.
     pub(super) until: Duration,
@@ -29,7 +29,7 @@
     pub(super) owner: Option<Process>,
 }
 
-impl Follower {
+impl Lookup {
     fn attach(&self, job: Job, owner: Process) -> Action {
         let frame = Frame::Attach {
             job,
@@ -52,18 +52,18 @@
         if let Some((_, answer)) = self.answers.get(&job) {
             return vec![Action::Answer(ticket, answer.clone())];
         }
-        match self.works.get_mut(&job) {
-            Some(work) if wait.is_some() => {
-                work.waiting.push(ticket);
+        match self.pending_jobs.get_mut(&job) {
+            Some(pending) if wait.is_some() => {
+                pending.waiting.push(ticket);
                 Vec::new()
             }
             Some(_) => vec![Action::Answer(ticket, Answer::Running)],
-            None => self.seek(job, ticket, wait, false, now),
+            None => self.look_up(job, ticket, wait, false, now),
         }
     }
 
     /// Looks for a job's owner by asking its keeper.
-    pub(super) fn seek(
+    pub(super) fn look_up(
         &mut self,
         job: Job,
         ticket: Ticket,
@@ -76,42 +76,42 @@
         let Some(keeper) = linked else {
             return vec![Action::Answer(ticket, Answer::Unknown)];
         };
-        let until = now.up + wait.unwrap_or(LOOK_UP);
-        let follower = self.followers.entry(job).or_insert_with(|| Follower {
+        let until = now.up + wait.unwrap_or(LOOKUP_TIMEOUT);
+        let lookup = self.lookups.entry(job).or_insert_with(|| Lookup {
             tickets: Vec::new(),
             until,
             running: false,
             cancel,
             owner: None,
         });
-        follower.tickets.push(ticket);
-        follower.until = follower.until.max(until);
-        follower.cancel |= cancel;
+        lookup.tickets.push(ticket);
+        lookup.until = lookup.until.max(until);
+        lookup.cancel |= cancel;
         vec![Action::Send(keeper, Frame::Find(job))]
     }
 
     /// The keeper names a job's owner, or knows none.
-    pub(super) fn found(
+    pub(super) fn handle_found(
         &mut self,
         job: Job,
         owner: Option<(Process, Option<Name>)>,
     ) -> Vec<Action> {
-        let Some(follower) = self.followers.get_mut(&job) else {
+        let Some(lookup) = self.lookups.get_mut(&job) else {
             return Vec::new();
         };
         let Some((owner, address)) = owner else {
-            return self.end_follower(job, &Answer::Unknown);
+            return self.end_lookup(job, &Answer::Unknown);
         };
-        follower.owner = Some(owner.clone());
+        lookup.owner = Some(owner.clone());
         if self.entries.contains(&owner) {
-            return vec![follower.attach(job, owner)];
+            return vec![lookup.attach(job, owner)];
         }
         let dial = address.map(|address| Action::Dial(owner, address));
         dial.into_iter().collect()
     }
 
-    pub(super) fn expire_followers(&mut self, now: Now) -> Vec<Action> {
-        let late = self.followers.iter().filter(|(_, f)| f.until <= now.up);
+    pub(super) fn expire_lookups(&mut self, now: Now) -> Vec<Action> {
+        let late = self.lookups.iter().filter(|(_, f)| f.until <= now.up);
         let late: Vec<(Job, bool)> = late.map(|(job, f)| (*job, f.running)).collect();
         let mut actions = Vec::new();
         for (job, running) in late {
@@ -120,74 +120,80 @@
             } else {
                 Answer::Unknown
             };
-            actions.extend(self.end_follower(job, &answer));
+            actions.extend(self.end_lookup(job, &answer));
         }
         actions
     }
 
     /// The work goes on at another entry, which has the higher attempt.
-    pub(super) fn follow(&mut self, job: Job, owner: Ballot, now: Now) -> Vec<Action> {
+    pub(super) fn attach_to_owner(&mut self, job: Job, owner: Ballot, now: Now) -> Vec<Action> {
         let linked = self.entries.contains(&owner.entry);
-        let Some(work) = self.works.get_mut(&job) else {
+        let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return Vec::new();
         };
-        let pool = work.pool.clone();
-        let cancel = work.stopped == Some(Stop::Cancelled);
-        let address = work.owner_address.clone();
+        let pool = pending.pool.clone();
+        let cancel = pending.stopped == Some(StopReason::Cancelled);
+        let address = pending.owner_address.clone();
         log::info!(job:% = job, owner:% = owner.entry; "attach");
         let entry = owner.entry.clone();
-        let follow = Follow {
+        let remote = RemoteOwner {
             owner,
-            until: now.up + LINK,
+            until: now.up + OWNER_LINK_TIMEOUT,
         };
-        work.follow = Some(follow.clone());
+        pending.remote_owner = Some(remote.clone());
         self.pool(&pool).withdraw(job);
         if linked {
-            return vec![follow.attach(job, cancel)];
+            return vec![remote.attach(job, cancel)];
         }
         match address {
             Some(address) => vec![Action::Dial(entry, address)],
             // The keeper has no link with the owner either: it is gone.
-            None => self.lose_owner(job, now),
+            None => self.take_over(job, now),
         }
     }
 
-    pub(super) fn note_address(&mut self, job: Job, address: Option<Name>) {
-        if let Some(work) = self.works.get_mut(&job) {
-            work.owner_address = address;
+    pub(super) fn set_owner_address(&mut self, job: Job, address: Option<Name>) {
+        if let Some(pending) = self.pending_jobs.get_mut(&job) {
+            pending.owner_address = address;
         }
     }
 
-    pub(super) fn is_follow_late(&self, job: Job, now: Now) -> bool {
-        let follow = self.works.get(&job).and_then(|work| work.follow.as_ref());
-        follow.is_some_and(|f| f.until <= now.up && !self.entries.contains(&f.owner.entry))
+    pub(super) fn is_owner_link_overdue(&self, job: Job, now: Now) -> bool {
+        let remote = self
+            .pending_jobs
+            .get(&job)
+            .and_then(|pending| pending.remote_owner.as_ref());
+        remote.is_some_and(|f| f.until <= now.up && !self.entries.contains(&f.owner.entry))
     }
 
     /// The owner is out of reach or does not own the job: take it over.
-    pub(super) fn lose_owner(&mut self, job: Job, now: Now) -> Vec<Action> {
-        let Some(work) = self.works.get_mut(&job) else {
+    pub(super) fn take_over(&mut self, job: Job, now: Now) -> Vec<Action> {
+        let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return Vec::new();
         };
-        if work.follow.take().is_none() {
+        if pending.remote_owner.take().is_none() {
             return Vec::new();
         }
         metrics::counter!("cassiarock_entry_take_overs_total").increment(1);
         log::info!(job:% = job; "take over");
-        self.step(job, Event::OwnerLost, now)
+        self.step_owner(job, Event::OwnerLost, now)
     }
 
     /// Another entry's link works.
     pub(crate) fn link_entry(&mut self, entry: &Process) -> Vec<Action> {
         self.entries.insert(entry.clone());
-        let works = self.works.iter();
-        let follows = works.filter_map(|(job, work)| {
-            let follow = work.follow.as_ref().filter(|f| f.owner.entry == *entry)?;
-            Some(follow.attach(*job, work.stopped == Some(Stop::Cancelled)))
+        let pending_jobs = self.pending_jobs.iter();
+        let follows = pending_jobs.filter_map(|(job, pending)| {
+            let remote = pending
+                .remote_owner
+                .as_ref()
+                .filter(|f| f.owner.entry == *entry)?;
+            Some(remote.attach(*job, pending.stopped == Some(StopReason::Cancelled)))
         });
-        let followers = self.followers.iter();
-        let followers = followers.filter(|(_, f)| f.owner.as_ref() == Some(entry));
+        let lookups = self.lookups.iter();
+        let lookups = lookups.filter(|(_, f)| f.owner.as_ref() == Some(entry));
         follows
-            .chain(followers.map(|(job, f)| f.attach(*job, entry.clone())))
+            .chain(lookups.map(|(job, f)| f.attach(*job, entry.clone())))
             .collect()
     }
 
@@ -197,17 +203,20 @@
         for pool in self.pools.values_mut() {
             pool.remove_entry(entry);
         }
-        let works = self.works.iter().filter(|(_, work)| follows(work, entry));
-        let jobs: Vec<Job> = works.map(|(job, _)| *job).collect();
+        let pending_jobs = self
+            .pending_jobs
+            .iter()
+            .filter(|(_, pending)| is_owned_by(pending, entry));
+        let jobs: Vec<Job> = pending_jobs.map(|(job, _)| *job).collect();
         let mut actions = Vec::new();
         for job in jobs {
-            actions.extend(self.lose_owner(job, now));
+            actions.extend(self.take_over(job, now));
         }
         actions
     }
 
     /// Another entry wants the answer of a job that is owned here.
-    pub(super) fn attach(
+    pub(super) fn handle_attach(
         &mut self,
         entry: &Process,
         job: Job,
@@ -216,21 +225,21 @@
         now: Now,
     ) -> Vec<Action> {
         if let Some((_, answer)) = self.answers.get(&job) {
-            return vec![whole(entry.clone(), job, answer)];
+            return vec![answer_frame(entry.clone(), job, answer)];
         }
         let none = Whole {
             job,
             owned: false,
             answer: None,
         };
-        let Some(work) = self.works.get_mut(&job) else {
+        let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return vec![Action::Send(entry.clone(), Frame::Whole(none))];
         };
-        if !holds(work, ballot) {
+        if !owns_attempt(pending, ballot) {
             return vec![Action::Send(entry.clone(), Frame::Whole(none))];
         }
-        if !work.attached.contains(entry) {
-            work.attached.push(entry.clone());
+        if !pending.attached.contains(entry) {
+            pending.attached.push(entry.clone());
         }
         let running = Whole {
             job,
@@ -239,54 +248,49 @@
         };
         let mut actions = vec![Action::Send(entry.clone(), Frame::Whole(running))];
         if cancel {
-            actions.extend(self.stop(job, Stop::Cancelled, now));
+            actions.extend(self.stop(job, StopReason::Cancelled, now));
         }
         actions
     }
 
     /// The owner's word on a job.
-    pub(super) fn whole(&mut self, from: &Process, whole: Whole, now: Now) -> Vec<Action> {
+    pub(super) fn handle_whole(&mut self, from: &Process, whole: Whole, now: Now) -> Vec<Action> {
         let job = whole.job;
         let answer = whole.answer.as_deref().and_then(answer::decode);
-        let mut actions = self.whole_for_follower(job, whole.owned, answer.as_ref());
-        let Some(work) = self.works.get(&job) else {
+        let mut actions = self.update_lookup(job, whole.owned, answer.as_ref());
+        let Some(pending) = self.pending_jobs.get(&job) else {
             return actions;
         };
-        if !follows(work, from) {
+        if !is_owned_by(pending, from) {
             return actions;
         }
         match answer {
             Some(answer) => actions.extend(self.finish(job, answer, now)),
             None if whole.owned => {}
-            None => actions.extend(self.lose_owner(job, now)),
+            None => actions.extend(self.take_over(job, now)),
         }
         actions
     }
 
-    fn whole_for_follower(
-        &mut self,
-        job: Job,
-        owned: bool,
-        answer: Option<&Answer>,
-    ) -> Vec<Action> {
-        let Some(follower) = self.followers.get_mut(&job) else {
+    fn update_lookup(&mut self, job: Job, owned: bool, answer: Option<&Answer>) -> Vec<Action> {
+        let Some(lookup) = self.lookups.get_mut(&job) else {
             return Vec::new();
         };
         match answer {
-            Some(answer) => self.end_follower(job, answer),
+            Some(answer) => self.end_lookup(job, answer),
             None if owned => {
-                follower.running = true;
+                lookup.running = true;
                 Vec::new()
             }
-            None => self.end_follower(job, &Answer::Unknown),
+            None => self.end_lookup(job, &Answer::Unknown),
         }
     }
 
-    fn end_follower(&mut self, job: Job, answer: &Answer) -> Vec<Action> {
-        let Some(follower) = self.followers.remove(&job) else {
+    fn end_lookup(&mut self, job: Job, answer: &Answer) -> Vec<Action> {
+        let Some(lookup) = self.lookups.remove(&job) else {
             return Vec::new();
         };
-        let tickets = follower.tickets.into_iter();
+        let tickets = lookup.tickets.into_iter();
         tickets
             .map(|ticket| Action::Answer(ticket, answer.clone()))
             .collect()
@@ -294,7 +298,7 @@
 }
 
 /// The frame that tells an attached entry a final answer.
-pub(super) fn whole(entry: Process, job: Job, answer: &Answer) -> Action {
+pub(super) fn answer_frame(entry: Process, job: Job, answer: &Answer) -> Action {
     let whole = Whole {
         job,
         owned: true,
@@ -303,17 +307,17 @@
     Action::Send(entry, Frame::Whole(whole))
 }
 
-fn follows(work: &Work, entry: &Process) -> bool {
-    let follow = work.follow.as_ref();
-    follow.is_some_and(|f| f.owner.entry == *entry)
+fn is_owned_by(pending: &PendingJob, entry: &Process) -> bool {
+    let remote = pending.remote_owner.as_ref();
+    remote.is_some_and(|f| f.owner.entry == *entry)
 }
 
 /// Whether this work is the attempt that an attaching entry was told of. Two entries
 /// would wait for each other over an attempt that neither has taken up.
-fn holds(work: &Work, ballot: Option<&Ballot>) -> bool {
-    match &work.plan {
-        Plan::Repeat(_) => true,
-        Plan::Once(_) if work.follow.is_some() => false,
-        Plan::Once(owner) => ballot.is_none_or(|ballot| owner.holds(ballot)),
+fn owns_attempt(pending: &PendingJob, ballot: Option<&Ballot>) -> bool {
+    match &pending.plan {
+        Plan::Repeatable(_) => true,
+        Plan::AtMostOnce(_) if pending.remote_owner.is_some() => false,
+        Plan::AtMostOnce(owner) => ballot.is_none_or(|ballot| owner.holds(ballot)),
     }
 }
--- a/crates/cassiarock-entry/src/state/mod.rs
+++ b/crates/cassiarock-entry/src/state/mod.rs
@@ -4,19 +4,19 @@
 mod agents;
 mod answer;
 mod calls;
+mod claimed;
 mod explain;
 mod follow;
-mod guarded;
+mod pending;
 mod place;
-mod repeat;
-mod setting;
-mod silent;
+mod repeatable;
+mod settings;
 mod teams;
+mod unreachable;
 mod views;
-mod work;
 
 pub(crate) use action::{Action, Ticket};
-pub(crate) use setting::Setting;
+pub(crate) use settings::Settings;
 
 use cassiarock_caller::Answer;
 use cassiarock_claim::view::ViewHistory;
@@ -25,16 +25,16 @@
 use cassiarock_process::{Behind, Now};
 use cassiarock_rule as rule;
 use cassiarock_wire::Frame;
-use follow::Follower;
+use follow::Lookup;
+use pending::PendingJob;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
-use work::Work;
 
 /// All that one entry knows.
 #[derive(Debug)]
 pub(crate) struct State {
-    setting: Setting,
+    settings: Settings,
     rules: Arc<rule::State>,
     views: ViewHistory,
     /// The decisions about each pool.
@@ -42,21 +42,21 @@
     /// The pool of each linked agent.
     agents: HashMap<Process, Name>,
     /// Members without a link, and since when.
-    silent: HashMap<Process, Duration>,
+    unreachable: HashMap<Process, Duration>,
     /// The linked entries.
     entries: HashSet<Process>,
-    works: HashMap<Job, Work>,
+    pending_jobs: HashMap<Job, PendingJob>,
     /// When each work has to be looked at, the earliest first.
-    wakes: BTreeSet<(Duration, Job)>,
+    timers: BTreeSet<(Duration, Job)>,
     /// Callers who ask here for jobs that another entry owns.
-    followers: HashMap<Job, Follower>,
+    lookups: HashMap<Job, Lookup>,
     /// Final answers, kept for callers who ask again, each with the hash of the tasks: an
     /// answer must not go to a submission of other tasks under the same id.
     answers: HashMap<Job, (u64, Answer)>,
     /// Their order, the oldest first.
-    order: VecDeque<Job>,
+    answer_order: VecDeque<Job>,
     /// Numbers this entry's attempts.
-    serial: u64,
+    last_serial: u64,
     leaving: bool,
     /// Tasks that are tried again, and when.
     retries: BTreeSet<(Duration, Job, Task)>,
@@ -64,82 +64,82 @@
     /// The load of each pool, for the rules, as of the last judgement.
     loads: rule::request::Loads,
     /// When the pools are asked next for jobs that cannot be in time any more.
-    judged: Duration,
+    next_feasibility_check: Duration,
     /// When the other entries are told next.
-    told: Duration,
+    next_usage_report: Duration,
 }
 
 /// How often jobs that cannot be in time any more are looked for: well within the
 /// shortest deadlines, and a pass over the admitted jobs each.
-const JUDGE_EVERY: Duration = Duration::from_millis(100);
+const FEASIBILITY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often the other entries are told what teams have used. A team can exceed its quota
 /// by what it gets from the others in this time.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const USAGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How many final answers are kept: some seconds' worth at the peak of one entry. Older
 /// ones are gathered from the agents again.
-const ANSWERS: usize = 20_000;
+const MAX_ANSWERS: usize = 20_000;
 
 impl State {
-    pub(crate) fn new(setting: Setting, now: Now) -> Self {
+    pub(crate) fn new(settings: Settings, now: Now) -> Self {
         Self {
-            views: ViewHistory::new(setting.timing(), now.wall),
-            setting,
+            views: ViewHistory::new(settings.timing(), now.wall),
+            settings,
             rules: Arc::default(),
             pools: HashMap::new(),
             agents: HashMap::new(),
-            silent: HashMap::new(),
+            unreachable: HashMap::new(),
             entries: HashSet::new(),
-            works: HashMap::new(),
-            wakes: BTreeSet::new(),
-            followers: HashMap::new(),
+            pending_jobs: HashMap::new(),
+            timers: BTreeSet::new(),
+            lookups: HashMap::new(),
             answers: HashMap::new(),
-            order: VecDeque::new(),
-            serial: 0,
+            answer_order: VecDeque::new(),
+            last_serial: 0,
             leaving: false,
             retries: BTreeSet::new(),
             behind: Behind::default(),
             loads: rule::request::Loads::default(),
-            judged: Duration::ZERO,
-            told: Duration::ZERO,
+            next_feasibility_check: Duration::ZERO,
+            next_usage_report: Duration::ZERO,
         }
     }
 
     /// Takes in one frame from a linked process.
-    pub(crate) fn frame(&mut self, from: &Process, frame: Frame, now: Now) -> Vec<Action> {
+    pub(crate) fn handle_frame(&mut self, from: &Process, frame: Frame, now: Now) -> Vec<Action> {
         match frame {
-            Frame::Ended(ended) => self.ended(from, ended, now),
-            Frame::Rejected(rejected) => self.rejected(from, rejected, now),
-            Frame::Answered(answered) => self.answered(answered, now),
-            Frame::Reported(reported) => self.reported(from, *reported, now),
+            Frame::Ended(ended) => self.handle_ended(from, ended, now),
+            Frame::Rejected(rejected) => self.handle_rejected(from, rejected, now),
+            Frame::Answered(answered) => self.handle_answered(answered, now),
+            Frame::Reported(reported) => self.handle_reported(from, *reported, now),
             Frame::Grant(load) => {
                 if let Some(pool) = self.pool_of(from) {
                     pool.grant(from, load, now.up);
                 }
                 Vec::new()
             }
-            Frame::Pong(pong) => self.pong(from, &pong, now),
+            Frame::Pong(pong) => self.handle_pong(from, &pong, now),
             Frame::Ping(ping) => vec![self.entry_pong(from, &ping)],
             Frame::Found(found) => {
                 let owner = found.owner.map(|owner| (owner, found.address));
-                self.found(found.job, owner)
+                self.handle_found(found.job, owner)
             }
             Frame::Attach {
                 job,
                 ballot,
                 cancel,
-            } => self.attach(from, job, ballot.as_ref(), cancel, now),
-            Frame::Whole(whole) => self.whole(from, whole, now),
-            Frame::Entries(entries) => self.meet(entries),
-            Frame::News(news) => self.hear(from, &news, now),
+            } => self.handle_attach(from, job, ballot.as_ref(), cancel, now),
+            Frame::Whole(whole) => self.handle_whole(from, whole, now),
+            Frame::Entries(entries) => self.handle_entries(entries),
+            Frame::News(news) => self.apply_usage_news(from, &news, now),
             Frame::AskState => {
                 let state = Frame::State(Arc::clone(&self.rules));
                 vec![Action::Send(from.clone(), state)]
             }
             Frame::State(state) => vec![Action::Offer(state)],
             Frame::Leaving => {
-                self.agent_leaves(from);
+                self.set_agent_leaving(from);
                 Vec::new()
             }
             other => {
@@ -151,22 +151,22 @@
 
     /// What is due: repeats, deadlines, tasks to send. Called after every batch of events.
     pub(crate) fn poll(&mut self, now: Now) -> Vec<Action> {
-        let mut actions = self.wake_works(now);
-        actions.extend(self.expire_followers(now));
-        actions.extend(self.judge(now));
-        self.retry_due(now);
+        let mut actions = self.check_due_jobs(now);
+        actions.extend(self.expire_lookups(now));
+        actions.extend(self.stop_infeasible_jobs(now));
+        self.release_due_retries(now);
         actions.extend(self.place(now));
-        actions.extend(self.tell(now));
-        actions.extend(self.remove_silent(now));
+        actions.extend(self.send_usage(now));
+        actions.extend(self.remove_unreachable(now));
         actions
     }
 
     /// When `poll` has to be called at the latest.
-    pub(crate) fn wake(&self) -> Option<Duration> {
+    pub(crate) fn next_poll(&self) -> Option<Duration> {
         let placers = self.pools.values().filter_map(Dispatcher::next_poll);
-        let work = self.wakes.first().map(|(at, _)| *at);
+        let timer = self.timers.first().map(|(at, _)| *at);
         let retry = self.retries.first().map(|(at, _, _)| *at);
-        placers.chain(work).chain(retry).min()
+        placers.chain(timer).chain(retry).min()
     }
 
     /// The membership version in force.
@@ -187,7 +187,7 @@
     pub(crate) fn load(&self) -> (usize, usize, usize) {
         let waiting = self.pools.values().map(Dispatcher::waiting).sum();
         let placed = self.pools.values().map(Dispatcher::outstanding).sum();
-        (self.works.len(), waiting, placed)
+        (self.pending_jobs.len(), waiting, placed)
     }
 
     /// From now on no new job is taken.
@@ -197,55 +197,55 @@
 
     /// Ends a job: tells everybody who waits and keeps the answer.
     fn finish(&mut self, job: Job, answer: Answer, now: Now) -> Vec<Action> {
-        let Some(work) = self.works.remove(&job) else {
+        let Some(pending) = self.pending_jobs.remove(&job) else {
             return Vec::new();
         };
-        self.wakes.remove(&(work.wake(), job));
-        if let Some(pool) = self.pools.get_mut(&work.pool) {
+        self.timers.remove(&(pending.next_check(), job));
+        if let Some(pool) = self.pools.get_mut(&pending.pool) {
             pool.finish(job);
         }
-        let took = now.up.saturating_sub(work.arrived);
+        let took = now.up.saturating_sub(pending.arrived);
         log::info!(
-            job:% = job, outcome = outcome(&answer), rule:% = work.rule,
+            job:% = job, outcome = outcome(&answer), rule:% = pending.rule,
             took_ms = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
             "answer"
         );
         metrics::counter!("cassiarock_entry_jobs_total", "outcome" => outcome(&answer))
             .increment(1);
         metrics::histogram!("cassiarock_entry_job_seconds").record(took.as_secs_f64());
-        let mut actions: Vec<Action> = work
+        let mut actions: Vec<Action> = pending
             .waiting
             .into_iter()
             .map(|ticket| Action::Answer(ticket, answer.clone()))
             .collect();
-        let attached = work.attached.into_iter();
-        actions.extend(attached.map(|entry| follow::whole(entry, job, &answer)));
+        let attached = pending.attached.into_iter();
+        actions.extend(attached.map(|entry| follow::answer_frame(entry, job, &answer)));
         // The id belongs to another submission, whose answer is not this one.
         if !matches!(answer, Answer::Conflict) {
-            self.keep(job, work.submission.digest, answer);
+            self.keep_answer(job, pending.submission.digest, answer);
         }
         actions
     }
 
-    fn keep(&mut self, job: Job, digest: u64, answer: Answer) {
+    fn keep_answer(&mut self, job: Job, digest: u64, answer: Answer) {
         if self.answers.insert(job, (digest, answer)).is_none() {
-            self.order.push_back(job);
+            self.answer_order.push_back(job);
         }
-        if self.order.len() > ANSWERS
-            && let Some(oldest) = self.order.pop_front()
+        if self.answer_order.len() > MAX_ANSWERS
+            && let Some(oldest) = self.answer_order.pop_front()
         {
             self.answers.remove(&oldest);
         }
     }
 
     /// Looks at a work again, after a change of its times.
-    fn reschedule(&mut self, job: Job, change: impl FnOnce(&mut Work)) {
-        let Some(work) = self.works.get_mut(&job) else {
+    fn update_timer(&mut self, job: Job, change: impl FnOnce(&mut PendingJob)) {
+        let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return;
         };
-        self.wakes.remove(&(work.wake(), job));
-        change(work);
-        self.wakes.insert((work.wake(), job));
+        self.timers.remove(&(pending.next_check(), job));
+        change(pending);
+        self.timers.insert((pending.next_check(), job));
     }
 
     fn pool_of(&mut self, agent: &Process) -> Option<&mut Dispatcher> {
@@ -254,10 +254,10 @@
     }
 
     fn pool(&mut self, name: &Name) -> &mut Dispatcher {
-        let setting = &self.setting;
+        let settings = &self.settings;
         let configuration = &self.rules.configuration;
         self.pools.entry(name.clone()).or_insert_with(|| {
-            let mut pool = Dispatcher::new(setting.dispatch.clone(), setting.seed);
+            let mut pool = Dispatcher::new(settings.dispatch.clone(), settings.seed);
             pool.set_teams(teams::shares(configuration));
             pool
         })
--- a/crates/cassiarock-entry/src/state/work.rs
+++ b/crates/cassiarock-entry/src/state/pending.rs
@@ -1,6 +1,6 @@
 //! One job at this entry, until its final answer.
 
-use super::repeat::Repeat;
+use super::repeatable::RepeatableJob;
 use super::{Action, Ticket};
 use cassiarock_caller::Submission;
 use cassiarock_claim::Ballot;
@@ -14,14 +14,14 @@
 #[derive(Debug)]
 pub(super) enum Plan {
     /// At most once each, under a claim.
-    Once(Box<Owner>),
+    AtMostOnce(Box<Owner>),
     /// As often as the retry budget allows, without a claim.
-    Repeat(Repeat),
+    Repeatable(RepeatableJob),
 }
 
 /// The owner at another entry to which this one has attached.
 #[derive(Clone, Debug)]
-pub(super) struct Follow {
+pub(super) struct RemoteOwner {
     pub(super) owner: Ballot,
     /// When to give the owner up if no link with it has come about.
     pub(super) until: Duration,
@@ -29,7 +29,7 @@
 
 /// A job.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct PendingJob {
     pub(super) submission: Arc<Submission>,
     pub(super) rule: Name,
     pub(super) pool: Name,
@@ -43,18 +43,18 @@
     pub(super) waiting: Vec<Ticket>,
     /// Entries that wait for it.
     pub(super) attached: Vec<Process>,
-    pub(super) follow: Option<Follow>,
+    pub(super) remote_owner: Option<RemoteOwner>,
     /// Where the entry with the highest attempt takes links, as last heard.
     pub(super) owner_address: Option<Name>,
     /// Why nothing more is to be started, if so.
-    pub(super) stopped: Option<Stop>,
+    pub(super) stopped: Option<StopReason>,
     /// The first task that failed, with the worker's reason.
     pub(super) failure: Option<(Task, String)>,
 }
 
 /// Why a job is given up.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) enum Stop {
+pub(super) enum StopReason {
     /// Its caller cancelled it.
     Cancelled,
     /// Its deadline passed.
@@ -70,7 +70,7 @@
     },
 }
 
-impl Follow {
+impl RemoteOwner {
     /// Asks the owner for the answer, or to cancel the job.
     pub(super) fn attach(&self, job: Job, cancel: bool) -> Action {
         let frame = Frame::Attach {
@@ -82,13 +82,13 @@
     }
 }
 
-impl Work {
-    pub(super) fn tasks(&self) -> u16 {
+impl PendingJob {
+    pub(super) fn task_count(&self) -> u16 {
         u16::try_from(self.submission.tasks.len()).unwrap_or(u16::MAX)
     }
 
     /// When the work has to be looked at without input.
-    pub(super) fn wake(&self) -> Duration {
+    pub(super) fn next_check(&self) -> Duration {
         self.expires.min(self.retry)
     }
 }
--- a/crates/cassiarock-entry/src/state/place.rs
+++ b/crates/cassiarock-entry/src/state/place.rs
@@ -1,6 +1,6 @@
 //! Sends what the placer decides.
 
-use super::work::Plan;
+use super::pending::Plan;
 use super::{Action, State};
 use cassiarock_claim::message::Start;
 use cassiarock_id::{Job, Name, Process, Task};
@@ -12,14 +12,14 @@
 impl State {
     /// Queues tasks of a job that may start.
     pub(super) fn release(&mut self, job: Job, tasks: Vec<Task>, now: Now) {
-        let Some(work) = self.works.get(&job) else {
+        let Some(pending) = self.pending_jobs.get(&job) else {
             return;
         };
-        let avoid = match &work.plan {
-            Plan::Once(owner) => owner.keeper().cloned(),
-            Plan::Repeat(_) => None,
+        let avoid = match &pending.plan {
+            Plan::AtMostOnce(owner) => owner.keeper().cloned(),
+            Plan::Repeatable(_) => None,
         };
-        let pool = work.pool.clone();
+        let pool = pending.pool.clone();
         self.pool(&pool).release(job, tasks, avoid, now.up);
     }
 
@@ -39,21 +39,27 @@
         match action {
             place::Action::Demand { agent, ask } => Some(Action::Send(agent, Frame::Demand(ask))),
             place::Action::Start { agent, tasks, ask } => {
-                let runs = self.runs(pool, &agent, &tasks, now);
+                let runs = self.start_tasks(pool, &agent, &tasks, now);
                 Some(Action::Send(agent, Frame::Run { runs, ask }))
             }
         }
     }
 
-    fn runs(&mut self, pool: &Name, agent: &Process, tasks: &[PlacedTask], now: Now) -> Vec<Run> {
+    fn start_tasks(
+        &mut self,
+        pool: &Name,
+        agent: &Process,
+        tasks: &[PlacedTask],
+        now: Now,
+    ) -> Vec<Run> {
         let mut runs: BTreeMap<Job, Run> = BTreeMap::new();
         for placed in tasks {
             let key = placed.key;
-            match self.start(key, agent, now) {
-                Some(start) => self.add(&mut runs, start, placed, now),
+            match self.start_task(key, agent, now) {
+                Some(start) => self.add_to_run(&mut runs, start, placed, now),
                 // The owner does not allow this agent: try another one.
                 None => {
-                    let wanted = self.works.contains_key(&key.job);
+                    let wanted = self.pending_jobs.contains_key(&key.job);
                     self.pool(pool).undo_start(agent, &key, wanted);
                 }
             }
@@ -61,14 +67,14 @@
         runs.into_values().collect()
     }
 
-    fn start(&mut self, key: TaskKey, agent: &Process, now: Now) -> Option<Start> {
-        let work = self.works.get_mut(&key.job)?;
-        let deadline = now.wall.plus(work.expires.saturating_sub(now.up));
-        let start = match &mut work.plan {
-            Plan::Once(owner) => owner.place(key.task, agent, deadline, &self.views)?,
-            Plan::Repeat(repeat) => Start {
+    fn start_task(&mut self, key: TaskKey, agent: &Process, now: Now) -> Option<Start> {
+        let pending = self.pending_jobs.get_mut(&key.job)?;
+        let deadline = now.wall.plus(pending.expires.saturating_sub(now.up));
+        let start = match &mut pending.plan {
+            Plan::AtMostOnce(owner) => owner.place(key.task, agent, deadline, &self.views)?,
+            Plan::Repeatable(repeat) => Start {
                 job: key.job,
-                digest: work.submission.digest,
+                digest: pending.submission.digest,
                 ballot: repeat.ballot.clone(),
                 keeper: None,
                 view: self.views.version().unwrap_or_default(),
@@ -78,25 +84,33 @@
             },
         };
         log::info!(
-            job:% = key.job, task:% = key.task, rule:% = work.rule, upstream:% = agent,
-            waited_ms = u64::try_from(now.up.saturating_sub(work.arrived).as_millis()).unwrap_or(u64::MAX);
+            job:% = key.job, task:% = key.task, rule:% = pending.rule, upstream:% = agent,
+            waited_ms = u64::try_from(now.up.saturating_sub(pending.arrived).as_millis()).unwrap_or(u64::MAX);
             "place"
         );
         metrics::counter!("cassiarock_entry_placed_tasks_total").increment(1);
         Some(start)
     }
 
-    fn add(&self, runs: &mut BTreeMap<Job, Run>, start: Start, placed: &PlacedTask, now: Now) {
-        let Some(work) = self.works.get(&start.job) else {
+    fn add_to_run(
+        &self,
+        runs: &mut BTreeMap<Job, Run>,
+        start: Start,
+        placed: &PlacedTask,
+        now: Now,
+    ) {
+        let Some(pending) = self.pending_jobs.get(&start.job) else {
             return;
         };
-        let left = work.expires.saturating_sub(now.up);
+        let left = pending.expires.saturating_sub(now.up);
         let item = Item {
             task: start.task,
             placement: start.placement,
             lateness: placed.lateness,
             may_wait: placed.may_wait,
-            payload: work.submission.tasks[start.task.index()].payload.to_vec(),
+            payload: pending.submission.tasks[start.task.index()]
+                .payload
+                .to_vec(),
         };
         let run = runs.entry(start.job).or_insert_with(|| Run {
             job: start.job,
@@ -105,7 +119,7 @@
             keeper: start.keeper,
             view: start.view,
             start_by: start.start_by,
-            kind: work.submission.kind.clone(),
+            kind: pending.submission.kind.clone(),
             limit_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
             tasks: Vec::new(),
         });
--- a/crates/cassiarock-entry/src/state/setting.rs
+++ b/crates/cassiarock-entry/src/state/settings.rs
@@ -15,7 +15,7 @@
 
 /// The identity and the settings of an entry.
 #[derive(Clone, Debug)]
-pub(crate) struct Setting {
+pub(crate) struct Settings {
     pub(crate) me: Process,
     pub(crate) data_centre: Name,
     pub(crate) dispatch: dispatch::Settings,
@@ -26,7 +26,7 @@
     pub(crate) remembered: Duration,
 }
 
-impl Setting {
+impl Settings {
     pub(crate) fn timing(&self) -> Timing {
         Timing::new(LEASE, MARGIN + self.clock_skew, self.remembered)
     }
--- a/crates/cassiarock-entry/src/state/views.rs
+++ b/crates/cassiarock-entry/src/state/views.rs
@@ -12,27 +12,27 @@
     pub(crate) fn adopt(&mut self, rules: Arc<rule::State>, now: Now) -> Vec<Action> {
         let before = self.membership();
         let former = std::mem::replace(&mut self.rules, rules);
-        self.share_out();
-        self.note_silent(now);
+        self.update_team_shares();
+        self.update_unreachable(now);
         self.adopt_views();
-        self.adopt_orders(&former);
+        self.update_leaving_agents(&former);
         if self.membership() == before {
             return Vec::new();
         }
         self.views.evict(now.wall);
-        self.step_all(&Event::ViewChanged, now)
+        self.step_owners(&Event::ViewChanged, now)
     }
 
     /// Orders to leave, and orders taken back.
-    fn adopt_orders(&mut self, former: &rule::State) {
+    fn update_leaving_agents(&mut self, former: &rule::State) {
         let membership = Arc::clone(&self.rules.membership);
         for member in membership.members.values() {
             let known = former.membership.members.get(&member.process.name);
             let left = known.is_some_and(|known| known.leaving);
             if member.leaving {
-                self.agent_leaves(&member.process);
+                self.set_agent_leaving(&member.process);
             } else if left && self.agents.contains_key(&member.process) {
-                self.agent_stays(&member.process);
+                self.clear_agent_leaving(&member.process);
             }
         }
     }
@@ -45,13 +45,13 @@
         let known = self.views.version();
         if known.is_none_or(|known| !membership.history.is_whole_since(known)) {
             let since = membership.history.known_since();
-            self.views = ViewHistory::new(self.setting.timing(), since);
+            self.views = ViewHistory::new(self.settings.timing(), since);
         }
         for view in membership.views(known.unwrap_or_default()) {
             self.views.adopt(View::new(view.version, view.members));
             if let Some((joined, at)) = view.joined {
                 // One clock is the agent's that joined, the other the caller's.
-                let from = at.plus(self.setting.clock_skew * 2);
+                let from = at.plus(self.settings.clock_skew * 2);
                 self.views.record_successor(&joined, from);
             }
             if let Some(retired) = view.retired {
