--- a/crates/cassiarock-agent/src/actor.rs
+++ b/crates/cassiarock-agent/src/actor.rs
@@ -69,23 +69,25 @@
     async fn handle(&mut self, batch: Batch, _: &mut Context<Self, Self::Reply>) -> Self::Reply {
         let now = self.clock.now();
         for input in batch.0 {
-            let actions = self.take(input, now);
+            let actions = self.handle_input(input, now);
             self.carry_out(actions);
         }
         let actions = self.state.poll(now);
         self.carry_out(actions);
-        self.report();
-        let wake = self.state.wake();
-        Ok(wake.map_or(Duration::MAX, |at| at.saturating_sub(now.up)))
+        self.update_status();
+        let next_poll = self.state.next_poll();
+        Ok(next_poll.map_or(Duration::MAX, |at| at.saturating_sub(now.up)))
     }
 }
 
 impl Agent {
-    fn take(&mut self, input: Input, now: Now) -> Vec<Action> {
+    fn handle_input(&mut self, input: Input, now: Now) -> Vec<Action> {
         match input {
-            Input::Link(event) => self.event(event, now),
-            Input::Ended(key, outcome, ran_ms) => self.state.end(key, outcome, ran_ms, now),
-            Input::NotStarted(key) => self.state.revert(key, now),
+            Input::Link(event) => self.handle_link_event(event, now),
+            Input::Ended(key, outcome, ran_ms) => {
+                self.state.handle_outcome(key, outcome, ran_ms, now)
+            }
+            Input::NotStarted(key) => self.state.handle_not_started(key, now),
             Input::Health(healthy) => {
                 self.state.set_healthy(healthy);
                 Vec::new()
@@ -93,18 +95,18 @@
             Input::Adopt(status) => self.adopt(&status, now),
             Input::Leave => self.state.leave(now),
             Input::Stay => {
-                self.state.stay();
+                self.state.cancel_leave();
                 Vec::new()
             }
-            Input::HandOver(refused, reply) => {
+            Input::HandOver(excluded, reply) => {
                 // Nobody waits for it any more if the process is being ended.
-                let _ = reply.send(self.state.hand_over(&refused));
+                let _ = reply.send(self.state.hand_over(&excluded));
                 Vec::new()
             }
         }
     }
 
-    fn event(&mut self, event: Event, now: Now) -> Vec<Action> {
+    fn handle_link_event(&mut self, event: Event, now: Now) -> Vec<Action> {
         match event {
             Event::Up(link) => {
                 let peer = link.peer.clone();
@@ -114,7 +116,7 @@
                 }
                 self.state.link(peer.process.clone(), peer.address.clone())
             }
-            Event::Frame(peer, frame) => self.state.frame(&peer.process, frame, now),
+            Event::Frame(peer, frame) => self.state.handle_frame(&peer.process, frame, now),
             Event::Down(peer, serial) => {
                 if self.links.close(&peer.process, serial) {
                     self.state.unlink(&peer.process);
@@ -137,7 +139,9 @@
         for action in actions {
             match action {
                 Action::Send(to, frame) => self.send(&to, frame),
-                Action::Work(work) => work::spawn(&self.worker, *work, self.inputs.clone()),
+                Action::RunTask(assigned) => {
+                    work::spawn(&self.worker, *assigned, self.inputs.clone())
+                }
                 Action::Stop(key) => work::stop(&self.worker, key),
                 Action::Offer(state) => self.follower.offer(state),
             }
@@ -150,7 +154,7 @@
         }
     }
 
-    fn report(&self) {
+    fn update_status(&self) {
         let (waiting, running) = self.state.load();
         let (leaving, ready) = (self.state.is_leaving(), self.state.is_ready());
         let links = self.links.len();
--- a/crates/cassiarock-agent/src/announce.rs
+++ b/crates/cassiarock-agent/src/announce.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// How long one append is tried before the membership is looked at again.
-const PATIENCE: Duration = Duration::from_secs(10);
+const APPEND_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Announces `member`, and again whenever the membership has lost it, as after a restore. A
 /// thousand agents that return at once take turns, so that they stay within the log's few
@@ -34,10 +34,10 @@
             member: member.clone(),
         };
         let record = Record::new(Wall::now(), by, body);
-        match publish::append(&log, &record, known.next(), PATIENCE).await {
+        match publish::append(&log, &record, known.next(), APPEND_TIMEOUT).await {
             Ok(offset) => {
                 log::info!(agent:% = member.process, offset = offset; "joined");
-                wait_until_folded(&mut status, offset).await;
+                wait_until_applied(&mut status, offset).await;
             }
             Err(error) => {
                 log::warn!(agent:% = member.process; "join: {error}");
@@ -49,12 +49,7 @@
 
 /// Announces that `process` has gone, after it handed over by membership `version`. True
 /// once that counts.
-pub(crate) async fn handed_over(
-    log: &Log,
-    follower: &Follower,
-    process: &Process,
-    version: u64,
-) -> bool {
+pub(crate) async fn leave(log: &Log, follower: &Follower, process: &Process, version: u64) -> bool {
     let mut status = follower.subscribe();
     let from = follower.status().next();
     let body = Body::HandedOver {
@@ -62,10 +57,10 @@
         version,
     };
     let record = Record::new(Wall::now(), process.name.clone(), body);
-    match publish::append(log, &record, from, PATIENCE).await {
+    match publish::append(log, &record, from, APPEND_TIMEOUT).await {
         Ok(offset) => {
             log::info!(agent:% = process, offset = offset; "left");
-            wait_until_folded(&mut status, offset).await;
+            wait_until_applied(&mut status, offset).await;
             let state = follower.status().state;
             state.is_some_and(|state| state.membership.history.is_retired(process))
         }
@@ -82,14 +77,14 @@
     if follower.status().reachable {
         let mut status = follower.subscribe();
         let turn = publish::turn(&mut status, rand::random());
-        let _ = tokio::time::timeout(PATIENCE, turn).await;
+        let _ = tokio::time::timeout(APPEND_TIMEOUT, turn).await;
     }
 }
 
-async fn wait_until_folded(status: &mut tokio::sync::watch::Receiver<Status>, offset: u64) {
-    let folded = status.wait_for(|status| status.next() > offset);
+async fn wait_until_applied(status: &mut tokio::sync::watch::Receiver<Status>, offset: u64) {
+    let applied = status.wait_for(|status| status.next() > offset);
     // Not folded in time: look at the membership again and announce once more.
-    let _ = tokio::time::timeout(PATIENCE, folded).await;
+    let _ = tokio::time::timeout(APPEND_TIMEOUT, applied).await;
 }
 
 pub(crate) fn standing(status: &Status, process: &Process) -> Standing {
--- a/crates/cassiarock-agent/src/health.rs
+++ b/crates/cassiarock-agent/src/health.rs
@@ -12,28 +12,28 @@
 /// would push its load onto the others; it counts as healthy again after the first good one.
 pub(crate) async fn watch(
     worker: Worker,
-    setting: Health,
+    settings: Health,
     inputs: mpsc::Sender<Input>,
     leaving: watch::Sender<bool>,
 ) {
-    let mut ticks = interval(setting.interval);
+    let mut ticks = interval(settings.interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut record = Watch::new(setting.failures);
-    let mut told = None;
+    let mut record = Watch::new(settings.failures);
+    let mut reported = None;
     loop {
         ticks.tick().await;
-        let health = timeout(setting.timeout, worker.health()).await;
+        let health = timeout(settings.timeout, worker.health()).await;
         let health = health.ok().and_then(Result::ok);
         record.check(health.as_ref().is_some_and(|health| health.healthy));
         if health.is_some_and(|health| health.leaving) && !leaving.send_replace(true) {
             log::info!("worker leaving");
         }
-        let healthy = record.up() && (told == Some(true) || record.answered());
-        if told == Some(healthy) {
+        let healthy = record.up() && (reported == Some(true) || record.answered());
+        if reported == Some(healthy) {
             continue;
         }
         log::info!(healthy = healthy; "worker");
-        told = Some(healthy);
+        reported = Some(healthy);
         if inputs.send(Input::Health(healthy)).await.is_err() {
             return;
         }
--- a/crates/cassiarock-agent/src/leave.rs
+++ b/crates/cassiarock-agent/src/leave.rs
@@ -16,38 +16,38 @@
 
 /// How long another agent may take to take what is handed over. A round trip costs about
 /// a millisecond; an agent that needs longer is lost, and the next one is asked.
-const PATIENCE: Duration = Duration::from_secs(2);
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long written frames may take to leave the sockets.
-const FLUSH: Duration = Duration::from_millis(100);
+const FLUSH_TIME: Duration = Duration::from_millis(100);
 
 /// How long an operator's order can be taken back. It also keeps the agent there to turn
 /// down the starts of entries that hear of the order late, which would find nobody else.
-const SECOND_THOUGHTS: Duration = Duration::from_secs(10);
+const ORDER_CANCEL_WINDOW: Duration = Duration::from_secs(10);
 
 /// Hand-overs tried. Each fails only if the membership changed in the few milliseconds
 /// between it and its announcement, or a successor is leaving too.
-const TRIES: usize = 8;
+const MAX_ATTEMPTS: usize = 8;
 
 /// Waits until the membership says that this agent is to leave: an operator ordered it,
 /// or it was removed while it was paused or cut off. A removed one may not act under its
 /// old identity any more; whoever runs it starts it anew.
-pub(crate) async fn ordered(follower: &Follower, me: &Process) {
+pub(crate) async fn ordered_to_leave(follower: &Follower, me: &Process) {
     let mut status = follower.subscribe();
-    let told = status.wait_for(|status| {
+    let ordered = status.wait_for(|status| {
         matches!(
             announce::standing(status, me),
             Standing::Leaving | Standing::Departed
         )
     });
-    if told.await.is_err() {
+    if ordered.await.is_err() {
         // The follower runs as long as this process.
         std::future::pending::<()>().await;
     }
 }
 
 /// Waits until the worker says that it is about to go.
-pub(crate) async fn noticed(mut leaving: watch::Receiver<bool>) {
+pub(crate) async fn upstream_leaving(mut leaving: watch::Receiver<bool>) {
     if leaving.wait_for(|leaving| *leaving).await.is_err() {
         std::future::pending::<()>().await;
     }
@@ -55,7 +55,7 @@
 
 /// Waits until an order can no longer be taken back: some time has passed and all work is
 /// done, or the agent was removed.
-pub(crate) async fn final_order(
+pub(crate) async fn order_is_final(
     follower: &Follower,
     me: &Process,
     status: watch::Receiver<Status>,
@@ -65,14 +65,14 @@
     tokio::select! {
         _ = departed => {}
         () = async {
-            tokio::time::sleep(SECOND_THOUGHTS).await;
-            finish(status).await;
+            tokio::time::sleep(ORDER_CANCEL_WINDOW).await;
+            wait_until_idle(status).await;
         } => {}
     }
 }
 
 /// Waits until the order to leave is taken back.
-pub(crate) async fn taken_back(follower: &Follower, me: &Process) {
+pub(crate) async fn order_cancelled(follower: &Follower, me: &Process) {
     let mut known = follower.subscribe();
     let active = known.wait_for(|known| announce::standing(known, me) == Standing::Active);
     if active.await.is_err() {
@@ -81,16 +81,16 @@
 }
 
 /// Waits until nothing waits or runs here.
-pub(crate) async fn finish(mut status: watch::Receiver<Status>) {
+pub(crate) async fn wait_until_idle(mut status: watch::Receiver<Status>) {
     // An error means that the actor is gone, and so is all work.
     let _ = status
         .wait_for(|now| now.leaving && now.waiting + now.running == 0)
         .await;
-    tokio::time::sleep(FLUSH).await;
+    tokio::time::sleep(FLUSH_TIME).await;
 }
 
 /// What a leaving agent needs to hand over.
-pub(crate) struct Leaver<'a> {
+pub(crate) struct HandoverContext<'a> {
     pub(crate) inputs: &'a mpsc::Sender<Input>,
     pub(crate) log: &'a Log,
     pub(crate) follower: &'a Follower,
@@ -98,39 +98,39 @@
     pub(crate) key: &'a Key,
 }
 
-impl Leaver<'_> {
+impl HandoverContext<'_> {
     /// Hands claims and ledger over to the agents that need them next, and announces it.
     pub(crate) async fn hand_over(&self) {
         announce::wait_for_turn(self.follower).await;
-        let mut refused = BTreeSet::new();
-        for _ in 0..TRIES {
-            let Some(handover) = self.records(refused.clone()).await else {
+        let mut excluded = BTreeSet::new();
+        for _ in 0..MAX_ATTEMPTS {
+            let Some(handover) = self.records(excluded.clone()).await else {
                 return;
             };
             let version = handover.version;
             let missing = self.deliver_all(handover).await;
             if !missing.is_empty() {
-                refused.extend(missing);
+                excluded.extend(missing);
                 continue;
             }
             let me = &self.me.process;
-            if announce::handed_over(self.log, self.follower, me, version).await {
+            if announce::leave(self.log, self.follower, me, version).await {
                 return;
             }
         }
         log::warn!(agent:% = self.me.process; "left without a hand-over that counts");
     }
 
-    async fn records(&self, refused: BTreeSet<Process>) -> Option<Handover> {
+    async fn records(&self, excluded: BTreeSet<Process>) -> Option<Handover> {
         let (reply, records) = oneshot::channel();
-        let input = Input::HandOver(refused, reply);
+        let input = Input::HandOver(excluded, reply);
         self.inputs.send(input).await.ok()?;
         records.await.ok()
     }
 
     /// Delivers to all successors; who did not take it.
     async fn deliver_all(&self, handover: Handover) -> Vec<Process> {
-        let sent = handover.records.into_iter().map(|(agent, records)| {
+        let deliveries = handover.records.into_iter().map(|(agent, records)| {
             let address = self.address(&agent);
             let (me, key) = (self.me.clone(), self.key.clone());
             tokio::spawn(async move {
@@ -138,11 +138,11 @@
                 (agent, taken)
             })
         });
-        let sent: Vec<_> = sent.collect();
-        let count = sent.len();
+        let deliveries: Vec<_> = deliveries.collect();
+        let count = deliveries.len();
         let mut missing = Vec::new();
-        for one in sent {
-            if let Ok((agent, false)) = one.await {
+        for delivery in deliveries {
+            if let Ok((agent, false)) = delivery.await {
                 missing.push(agent);
             }
         }
@@ -185,5 +185,5 @@
         }
         false
     };
-    timeout(PATIENCE, taken).await.unwrap_or(false)
+    timeout(DELIVERY_TIMEOUT, taken).await.unwrap_or(false)
 }
--- a/crates/cassiarock-agent/src/run.rs
+++ b/crates/cassiarock-agent/src/run.rs
@@ -173,15 +173,15 @@
         loop {
             tokio::select! {
                 () = until(shutdown, Stage::Drain) => return,
-                () = leave::noticed(self.worker_leaving.clone()) => return,
-                () = leave::ordered(&self.follower, me) => {}
+                () = leave::upstream_leaving(self.worker_leaving.clone()) => return,
+                () = leave::ordered_to_leave(&self.follower, me) => {}
             }
             // The actor takes inputs as long as its task runs.
             let _ = self.inputs.send(Input::Leave).await;
             tokio::select! {
                 () = until(shutdown, Stage::Drain) => return,
-                () = leave::final_order(&self.follower, me, self.status.clone()) => return,
-                () = leave::taken_back(&self.follower, me) => {}
+                () = leave::order_is_final(&self.follower, me, self.status.clone()) => return,
+                () = leave::order_cancelled(&self.follower, me) => {}
             }
             log::info!(agent:% = me; "staying");
             let _ = self.inputs.send(Input::Stay).await;
@@ -192,15 +192,15 @@
         log::info!(agent:% = self.identity.process; "leaving");
         // The actor takes inputs as long as its task runs.
         let _ = self.inputs.send(Input::Leave).await;
-        leave::finish(self.status.clone()).await;
-        let leaver = leave::Leaver {
+        leave::wait_until_idle(self.status.clone()).await;
+        let handover = leave::HandoverContext {
             inputs: &self.inputs,
             log: &self.log,
             follower: &self.follower,
             me: &self.identity,
             key: &self.key,
         };
-        leaver.hand_over().await;
+        handover.hand_over().await;
     }
 }
 
--- a/crates/cassiarock-agent/src/state/action.rs
+++ b/crates/cassiarock-agent/src/state/action.rs
@@ -13,7 +13,7 @@
     /// asks again over the next one.
     Send(Process, Frame),
     /// Hand a task to the worker.
-    Work(Box<Work>),
+    RunTask(Box<AssignedTask>),
     /// Ask the worker to stop a task. What it answers then is still the outcome.
     Stop(TaskKey),
     /// Take this state, which a peer knew, if it is newer than the log's.
@@ -22,7 +22,7 @@
 
 /// A task on its way to the worker.
 #[derive(Clone, Debug)]
-pub(crate) struct Work {
+pub(crate) struct AssignedTask {
     /// The task's run, without its list of tasks.
     pub(crate) run: Run,
     /// The task.
@@ -31,7 +31,7 @@
     pub(crate) entry: Process,
 }
 
-impl Work {
+impl AssignedTask {
     pub(crate) const fn task(&self) -> Task {
         self.item.task
     }
--- a/crates/cassiarock-agent/src/state/claims.rs
+++ b/crates/cassiarock-agent/src/state/claims.rs
@@ -13,20 +13,25 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// At how many agents a leaver's records are kept, where there are as many.
-const COPIES: usize = 2;
+const HANDOVER_COPIES: usize = 2;
 
 impl State {
-    pub(super) fn ask(&mut self, entry: &Process, ask: &ClaimRequest, now: Now) -> Vec<Action> {
-        let answer = self.keeper.answer(ask, &self.view, now.wall);
-        log::debug!(job:% = ask.job, entry:% = entry, answer:? = answer; "claim");
+    pub(super) fn handle_claim(
+        &mut self,
+        entry: &Process,
+        request: &ClaimRequest,
+        now: Now,
+    ) -> Vec<Action> {
+        let answer = self.keeper.answer(request, &self.view, now.wall);
+        log::debug!(job:% = request.job, entry:% = entry, answer:? = answer; "claim");
         let owner = match &answer {
             ClaimReply::Owned(owner) => self.address(owner),
             _ => None,
         };
         let answered = Answered {
-            job: ask.job,
-            ballot: ask.ballot.clone(),
-            view: ask.view,
+            job: request.job,
+            ballot: request.ballot.clone(),
+            view: request.view,
             answer,
             owner,
         };
@@ -34,7 +39,7 @@
     }
 
     /// Tells who owns a job, to an entry that looks for its answer.
-    pub(super) fn find(&self, entry: &Process, job: Job) -> Vec<Action> {
+    pub(super) fn handle_find(&self, entry: &Process, job: Job) -> Vec<Action> {
         let owner = self.keeper.owner(job);
         let found = Found {
             job,
@@ -44,7 +49,7 @@
         vec![Action::Send(entry.clone(), Frame::Found(found))]
     }
 
-    pub(super) fn fence(&mut self, entry: &Process, fence: &Fence, now: Now) -> Vec<Action> {
+    pub(super) fn handle_fence(&mut self, entry: &Process, fence: &Fence, now: Now) -> Vec<Action> {
         let fenced = self.ledger.fence(fence, now.wall);
         log::info!(job:% = fence.job, entry:% = entry, round = fence.ballot.round; "fence");
         let mut actions = Vec::new();
@@ -71,14 +76,14 @@
 
     /// Takes a waiting task from the queue and tells the attempt that had placed it.
     fn withdraw(&mut self, key: TaskKey, fence: &Fence, now: Now) -> Option<Action> {
-        self.pool.cancel(&key);
-        let work = self.queued.remove(&key)?;
+        self.slots.cancel(&key);
+        let assigned = self.queued.remove(&key)?;
         let reject = Reject::Fenced(fence.ballot.clone());
-        let load = self.load_for(&work.entry, now);
-        Some(rejected(&work, reject, load))
+        let load = self.load_for(&assigned.entry, now);
+        Some(rejected(&assigned, reject, load))
     }
 
-    pub(super) fn take(&mut self, agent: &Process, records: HandOver) -> Vec<Action> {
+    pub(super) fn accept_handover(&mut self, agent: &Process, records: HandOver) -> Vec<Action> {
         let accepted = self.ledger.accepts_handover_from(agent);
         if accepted {
             self.keeper.accept_handover(records.claims);
@@ -90,12 +95,12 @@
 
     /// What must be at other agents before this one goes. Those that refused are passed
     /// over, as long as enough others are there to find a record at.
-    pub(crate) fn hand_over(&mut self, refused: &BTreeSet<Process>) -> Handover {
+    pub(crate) fn hand_over(&mut self, excluded: &BTreeSet<Process>) -> Handover {
         let others = self.view.members.iter().filter(|other| **other != self.me);
-        let willing = others.clone().filter(|other| !refused.contains(*other));
-        let enough = others.count().min(COPIES);
-        let view = if willing.clone().count() >= enough {
-            View::new(self.view.version, willing.cloned())
+        let candidates = others.clone().filter(|other| !excluded.contains(*other));
+        let enough = others.count().min(HANDOVER_COPIES);
+        let view = if candidates.clone().count() >= enough {
+            View::new(self.view.version, candidates.cloned())
         } else {
             self.view.clone()
         };
--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -4,7 +4,7 @@
 mod claims;
 mod tasks;
 
-pub(crate) use action::{Action, Work};
+pub(crate) use action::{Action, AssignedTask};
 
 use cassiarock_claim::keeper::Keeper;
 use cassiarock_claim::ledger::Ledger;
@@ -22,7 +22,7 @@
 
 /// How often the memories forget what is too old: far below the time that is kept, and
 /// rare enough to cost nothing.
-const EVICT_EVERY: Duration = Duration::from_secs(1);
+const EVICTION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// All that one agent knows.
 #[derive(Debug)]
@@ -30,16 +30,16 @@
     me: Process,
     pub(crate) ledger: Ledger,
     pub(crate) keeper: Keeper,
-    pub(crate) pool: SlotScheduler,
+    pub(crate) slots: SlotScheduler,
     pub(crate) view: View,
-    adopted: Duration,
-    evicted: Duration,
+    view_adopted_at: Duration,
+    last_eviction: Duration,
     leaving: bool,
     healthy: bool,
     /// Tasks that wait for a slot.
-    queued: HashMap<TaskKey, Work>,
+    queued: HashMap<TaskKey, AssignedTask>,
     /// Tasks at the worker.
-    running: HashMap<TaskKey, Work>,
+    running: HashMap<TaskKey, AssignedTask>,
     /// The linked entries.
     entries: HashMap<Process, Entry>,
     /// The log's state, as this agent knows it.
@@ -53,7 +53,7 @@
     /// Where it takes links itself.
     address: Name,
     /// When it sent its last ping, by its own clock.
-    pinged: Wall,
+    last_ping_sent: Wall,
 }
 
 impl State {
@@ -65,10 +65,10 @@
         Self {
             ledger: Ledger::new(me.clone(), limit),
             keeper: Keeper::new(me.clone(), limit),
-            pool: SlotScheduler::new(slots),
+            slots: SlotScheduler::new(slots),
             view: View::new(0, []),
-            adopted: Duration::ZERO,
-            evicted: Duration::ZERO,
+            view_adopted_at: Duration::ZERO,
+            last_eviction: Duration::ZERO,
             leaving: false,
             healthy: false,
             queued: HashMap::new(),
@@ -83,9 +83,15 @@
     /// An entry opened a link. What it counted on the last one begins anew. All entries
     /// are told of each other: nothing else tells them.
     pub(crate) fn link(&mut self, entry: Process, address: Name) -> Vec<Action> {
-        self.pool.disconnect(&entry);
-        let pinged = Wall::default();
-        self.entries.insert(entry, Entry { address, pinged });
+        self.slots.disconnect(&entry);
+        let last_ping_sent = Wall::default();
+        self.entries.insert(
+            entry,
+            Entry {
+                address,
+                last_ping_sent,
+            },
+        );
         let known = self.entries.iter();
         let known: Vec<(Process, Name)> = known
             .map(|(entry, known)| (entry.clone(), known.address.clone()))
@@ -99,7 +105,7 @@
     /// The last link with an entry is gone.
     pub(crate) fn unlink(&mut self, entry: &Process) {
         self.entries.remove(entry);
-        self.pool.disconnect(entry);
+        self.slots.disconnect(entry);
     }
 
     /// The log's state moved on. The entries are told at once: until a majority of the
@@ -121,37 +127,37 @@
         }
         self.ledger.set_view(view.version);
         self.view = view;
-        self.adopted = now.up;
+        self.view_adopted_at = now.up;
         let entries: Vec<(Process, Wall)> = self
             .entries
             .iter()
-            .map(|(entry, known)| (entry.clone(), known.pinged))
+            .map(|(entry, known)| (entry.clone(), known.last_ping_sent))
             .collect();
         entries
             .into_iter()
-            .map(|(entry, pinged)| self.pong(&entry, pinged, now))
+            .map(|(entry, last_ping_sent)| self.pong(&entry, last_ping_sent, now))
             .collect()
     }
 
     /// Takes in one frame from a linked entry.
-    pub(crate) fn frame(&mut self, entry: &Process, frame: Frame, now: Now) -> Vec<Action> {
+    pub(crate) fn handle_frame(&mut self, entry: &Process, frame: Frame, now: Now) -> Vec<Action> {
         match frame {
-            Frame::Ping(ping) => self.ping(entry, &ping, now),
-            Frame::Run { runs, ask } => self.run(entry, runs, &ask, now),
+            Frame::Ping(ping) => self.handle_ping(entry, &ping, now),
+            Frame::Run { runs, ask } => self.handle_run(entry, runs, &ask, now),
             Frame::Demand(ask) => {
-                self.pool.set_demand(entry, &ask, now.up);
+                self.slots.set_demand(entry, &ask, now.up);
                 Vec::new()
             }
-            Frame::Cancel(cancel) => self.cancel(entry, &cancel, now),
-            Frame::Ask(ask) => self.ask(entry, &ask, now),
-            Frame::Fence(fence) => self.fence(entry, &fence, now),
-            Frame::Find(job) => self.find(entry, job),
+            Frame::Cancel(cancel) => self.handle_cancel(entry, &cancel, now),
+            Frame::Ask(ask) => self.handle_claim(entry, &ask, now),
+            Frame::Fence(fence) => self.handle_fence(entry, &fence, now),
+            Frame::Find(job) => self.handle_find(entry, job),
             Frame::AskState => {
                 let state = Frame::State(Arc::clone(&self.rules));
                 vec![Action::Send(entry.clone(), state)]
             }
             Frame::State(state) => vec![Action::Offer(state)],
-            Frame::HandOver(records) => self.take(entry, records),
+            Frame::HandOver(records) => self.accept_handover(entry, records),
             other => {
                 log::warn!(from:% = entry; "a frame that agents do not take: {other:?}");
                 Vec::new()
@@ -161,12 +167,12 @@
 
     /// What is due: queued tasks to run, grants to send, old records to forget.
     pub(crate) fn poll(&mut self, now: Now) -> Vec<Action> {
-        if now.up.saturating_sub(self.evicted) >= EVICT_EVERY {
-            self.evicted = now.up;
+        if now.up.saturating_sub(self.last_eviction) >= EVICTION_INTERVAL {
+            self.last_eviction = now.up;
             self.ledger.evict(now.wall);
             self.keeper.evict(now.wall);
         }
-        self.serve_pool(now)
+        self.poll_slots(now)
     }
 
     /// From now on nothing new starts here.
@@ -182,7 +188,7 @@
     }
 
     /// Takes new work again. The entries learn it from the membership.
-    pub(crate) const fn stay(&mut self) {
+    pub(crate) const fn cancel_leave(&mut self) {
         self.leaving = false;
         self.ledger.cancel_leave();
     }
@@ -193,8 +199,8 @@
     }
 
     /// When `poll` has to be called at the latest.
-    pub(crate) fn wake(&self) -> Option<Duration> {
-        self.pool.next_poll()
+    pub(crate) fn next_poll(&self) -> Option<Duration> {
+        self.slots.next_poll()
     }
 
     /// The worker's health changed. An unhealthy worker's slots are not offered, and
@@ -212,9 +218,9 @@
         self.leaving
     }
 
-    fn ping(&mut self, entry: &Process, ping: &Ping, now: Now) -> Vec<Action> {
+    fn handle_ping(&mut self, entry: &Process, ping: &Ping, now: Now) -> Vec<Action> {
         if let Some(known) = self.entries.get_mut(entry) {
-            known.pinged = ping.sent;
+            known.last_ping_sent = ping.sent;
         }
         let mut actions = vec![self.pong(entry, ping.sent, now)];
         if self.behind.asks(self.rules.next, ping.next, now.up) {
@@ -226,7 +232,7 @@
     /// `sent` is when the entry sent its last ping: an unasked pong proves no more than
     /// the answer to that ping did, but for the view.
     fn pong(&mut self, entry: &Process, sent: Wall, now: Now) -> Action {
-        let adopted = now.up.saturating_sub(self.adopted);
+        let adopted = now.up.saturating_sub(self.view_adopted_at);
         let pong = Pong {
             sent,
             view: self.view.version,
@@ -240,7 +246,7 @@
 
     /// What an entry is told of the slots.
     fn load_for(&mut self, entry: &Process, now: Now) -> LoadReport {
-        let load = self.pool.load_report(entry, now.up);
+        let load = self.slots.load_report(entry, now.up);
         if self.healthy {
             return load;
         }
--- a/crates/cassiarock-agent/src/state/tasks.rs
+++ b/crates/cassiarock-agent/src/state/tasks.rs
@@ -1,6 +1,6 @@
 //! Starts, ends and cancellations of tasks.
 
-use super::{Action, State, Work};
+use super::{Action, AssignedTask, State};
 use cassiarock_claim::Ballot;
 use cassiarock_claim::ledger::{CancelDecision, StartDecision};
 use cassiarock_claim::message::{Cancel, Outcome, Reject};
@@ -12,7 +12,7 @@
 use cassiarock_wire::{Ended, Frame, Rejected, Run};
 
 impl State {
-    pub(super) fn run(
+    pub(super) fn handle_run(
         &mut self,
         entry: &Process,
         runs: Vec<Run>,
@@ -24,24 +24,24 @@
         let mut refused = Vec::new();
         for mut run in runs {
             for item in std::mem::take(&mut run.tasks) {
-                let work = Work {
+                let assigned = AssignedTask {
                     run: run.clone(),
                     item,
                     entry: entry.clone(),
                 };
-                self.admit(work, now, &mut accepted, &mut refused, &mut actions);
+                self.admit(assigned, now, &mut accepted, &mut refused, &mut actions);
             }
         }
         let settled = u32::try_from(refused.len()).unwrap_or(u32::MAX);
-        self.pool.count_skipped(entry, settled, now.up);
+        self.slots.count_skipped(entry, settled, now.up);
         let placed: Vec<PlacedTask> = accepted.iter().map(placed).collect();
-        let verdicts = self.pool.start(entry, &placed, ask, now.up);
-        for (work, verdict) in accepted.into_iter().zip(verdicts) {
-            self.bind(work, verdict, &mut refused, &mut actions);
+        let verdicts = self.slots.start(entry, &placed, ask, now.up);
+        for (assigned, verdict) in accepted.into_iter().zip(verdicts) {
+            self.apply_verdict(assigned, verdict, &mut refused, &mut actions);
         }
         let load = self.load_for(entry, now);
-        for (work, reject) in refused {
-            actions.extend(reject.map(|reject| rejected(&work, reject, load)));
+        for (assigned, reject) in refused {
+            actions.extend(reject.map(|reject| rejected(&assigned, reject, load)));
         }
         actions
     }
@@ -49,89 +49,90 @@
     /// Asks the ledger, before the slots: a repeat must not take a second slot.
     fn admit(
         &mut self,
-        work: Work,
+        assigned: AssignedTask,
         now: Now,
-        accepted: &mut Vec<Work>,
-        refused: &mut Vec<(Work, Option<Reject>)>,
+        accepted: &mut Vec<AssignedTask>,
+        refused: &mut Vec<(AssignedTask, Option<Reject>)>,
         actions: &mut Vec<Action>,
     ) {
-        let start = work.run.start(&work.item);
+        let start = assigned.run.start(&assigned.item);
         match self.ledger.start(&start, now.wall) {
             // Only after the ledger was asked: a repeat of a task that runs here must not be
             // told that it has not started, and a refused start must stay refused.
             StartDecision::Run if !self.healthy => {
                 self.ledger.withdraw_start(&start);
-                refused.push((work, Some(Reject::Full)));
+                refused.push((assigned, Some(Reject::Full)));
             }
-            StartDecision::Run => accepted.push(work),
-            StartDecision::Attached => refused.push((work, None)),
+            StartDecision::Run => accepted.push(assigned),
+            StartDecision::Attached => refused.push((assigned, None)),
             StartDecision::Ended(outcome) => {
-                actions.push(ended(&work, &work.run.ballot, outcome, 0, None));
-                refused.push((work, None));
+                actions.push(ended(&assigned, &assigned.run.ballot, outcome, 0, None));
+                refused.push((assigned, None));
             }
-            StartDecision::Rejected(reject) => refused.push((work, Some(reject))),
+            StartDecision::Rejected(reject) => refused.push((assigned, Some(reject))),
         }
     }
 
-    fn bind(
+    fn apply_verdict(
         &mut self,
-        work: Work,
+        assigned: AssignedTask,
         verdict: slot::Verdict,
-        refused: &mut Vec<(Work, Option<Reject>)>,
+        refused: &mut Vec<(AssignedTask, Option<Reject>)>,
         actions: &mut Vec<Action>,
     ) {
         match verdict {
-            slot::Verdict::Run => actions.extend(self.begin(work)),
+            slot::Verdict::Run => actions.extend(self.begin(assigned)),
             slot::Verdict::Queued => {
-                self.queued.insert(work.key(), work);
+                self.queued.insert(assigned.key(), assigned);
             }
             slot::Verdict::Full => {
-                self.ledger.withdraw_start(&work.run.start(&work.item));
-                refused.push((work, Some(Reject::Full)));
+                self.ledger
+                    .withdraw_start(&assigned.run.start(&assigned.item));
+                refused.push((assigned, Some(Reject::Full)));
             }
         }
     }
 
-    fn begin(&mut self, work: Work) -> Option<Action> {
-        let guarded = work.run.ballot.round != Ballot::UNCLAIMED;
-        if guarded && !self.ledger.begin(work.run.job, work.task()) {
+    fn begin(&mut self, assigned: AssignedTask) -> Option<Action> {
+        let claimed = assigned.run.ballot.round != Ballot::UNCLAIMED;
+        if claimed && !self.ledger.begin(assigned.run.job, assigned.task()) {
             return None;
         }
         log::info!(
-            job:% = work.run.job, task:% = work.task(), entry:% = work.entry,
-            round = work.run.ballot.round;
+            job:% = assigned.run.job, task:% = assigned.task(), entry:% = assigned.entry,
+            round = assigned.run.ballot.round;
             "start"
         );
         metrics::counter!("cassiarock_agent_started_tasks_total").increment(1);
-        self.running.insert(work.key(), work.clone());
-        Some(Action::Work(Box::new(work)))
+        self.running.insert(assigned.key(), assigned.clone());
+        Some(Action::RunTask(Box::new(assigned)))
     }
 
     /// The worker's end of a task.
-    pub(crate) fn end(
+    pub(crate) fn handle_outcome(
         &mut self,
         key: TaskKey,
         outcome: Outcome,
         ran_ms: u64,
         now: Now,
     ) -> Vec<Action> {
-        let Some(work) = self.running.remove(&key) else {
+        let Some(assigned) = self.running.remove(&key) else {
             return Vec::new();
         };
-        let finish = self.pool.finish(&key, now.up);
-        let mut told = self.ledger.end(key.job, key.task, outcome.clone());
-        if work.run.ballot.round == Ballot::UNCLAIMED {
-            told.push(work.run.ballot.clone());
+        let finish = self.slots.finish(&key, now.up);
+        let mut ballots = self.ledger.end(key.job, key.task, outcome.clone());
+        if assigned.run.ballot.round == Ballot::UNCLAIMED {
+            ballots.push(assigned.run.ballot.clone());
         }
         let mut actions = Vec::new();
         let mut load = Some(finish.load);
-        for ballot in told {
-            let own = if ballot.entry == work.entry {
+        for ballot in ballots {
+            let own = if ballot.entry == assigned.entry {
                 load.take()
             } else {
                 None
             };
-            actions.push(ended(&work, &ballot, outcome.clone(), ran_ms, own));
+            actions.push(ended(&assigned, &ballot, outcome.clone(), ran_ms, own));
         }
         if let Some((_, key)) = finish.next {
             actions.extend(self.begin_queued(key));
@@ -141,16 +142,16 @@
 
     /// The connection to the worker did not come about: the task has not started, and the
     /// entry may place it elsewhere.
-    pub(crate) fn revert(&mut self, key: TaskKey, now: Now) -> Vec<Action> {
-        let Some(work) = self.running.remove(&key) else {
+    pub(crate) fn handle_not_started(&mut self, key: TaskKey, now: Now) -> Vec<Action> {
+        let Some(assigned) = self.running.remove(&key) else {
             return Vec::new();
         };
-        let told = self.ledger.revert_begin(key.job, key.task);
-        let finish = self.pool.finish(&key, now.up);
-        let mut actions = vec![rejected(&work, Reject::Full, finish.load)];
+        let ballots = self.ledger.revert_begin(key.job, key.task);
+        let finish = self.slots.finish(&key, now.up);
+        let mut actions = vec![rejected(&assigned, Reject::Full, finish.load)];
         // An attempt that took the job over waits for the task, too.
-        for (ballot, placement) in told {
-            if ballot == work.run.ballot {
+        for (ballot, placement) in ballots {
+            if ballot == assigned.run.ballot {
                 continue;
             }
             let load = self.load_for(&ballot.entry, now);
@@ -170,7 +171,12 @@
         actions
     }
 
-    pub(super) fn cancel(&mut self, entry: &Process, cancel: &Cancel, now: Now) -> Vec<Action> {
+    pub(super) fn handle_cancel(
+        &mut self,
+        entry: &Process,
+        cancel: &Cancel,
+        now: Now,
+    ) -> Vec<Action> {
         let key = TaskKey::new(cancel.job, cancel.task);
         let cancelled = self.ledger.cancel(cancel);
         log::info!(job:% = cancel.job, task:% = cancel.task, entry:% = entry; "cancel: {cancelled:?}");
@@ -188,7 +194,7 @@
                 return vec![Action::Send(entry.clone(), Frame::Ended(ended))];
             }
             CancelDecision::Never => {
-                self.pool.cancel(&key);
+                self.slots.cancel(&key);
                 self.queued.remove(&key);
                 Reject::Cancelled
             }
@@ -205,9 +211,9 @@
         vec![Action::Send(entry.clone(), Frame::Rejected(rejected))]
     }
 
-    pub(super) fn serve_pool(&mut self, now: Now) -> Vec<Action> {
+    pub(super) fn poll_slots(&mut self, now: Now) -> Vec<Action> {
         let mut actions = Vec::new();
-        for action in self.pool.poll(now.up) {
+        for action in self.slots.poll(now.up) {
             match action {
                 slot::Action::Run { key, .. } => actions.extend(self.begin_queued(key)),
                 slot::Action::Grant { entry, load } => {
@@ -221,34 +227,35 @@
     /// Gives the tasks that wait for a slot back to their entries. Left here they would
     /// start at a leaving upstream as its slots come free, seconds later.
     pub(super) fn return_queued(&mut self, now: Now) -> Vec<Action> {
-        let queued: Vec<Work> = self.queued.drain().map(|(_, work)| work).collect();
+        let queued: Vec<AssignedTask> = self.queued.drain().map(|(_, assigned)| assigned).collect();
         let mut actions = Vec::new();
-        for work in queued {
-            self.pool.cancel(&work.key());
-            self.ledger.withdraw_start(&work.run.start(&work.item));
-            let load = self.load_for(&work.entry, now);
-            actions.push(rejected(&work, Reject::Leaving, load));
+        for assigned in queued {
+            self.slots.cancel(&assigned.key());
+            self.ledger
+                .withdraw_start(&assigned.run.start(&assigned.item));
+            let load = self.load_for(&assigned.entry, now);
+            actions.push(rejected(&assigned, Reject::Leaving, load));
         }
         actions
     }
 
     fn begin_queued(&mut self, key: TaskKey) -> Option<Action> {
-        let work = self.queued.remove(&key)?;
-        self.begin(work)
+        let assigned = self.queued.remove(&key)?;
+        self.begin(assigned)
     }
 }
 
 fn ended(
-    work: &Work,
+    assigned: &AssignedTask,
     ballot: &Ballot,
     outcome: Outcome,
     ran_ms: u64,
     load: Option<LoadReport>,
 ) -> Action {
     let frame = Frame::Ended(Ended {
-        job: work.run.job,
+        job: assigned.run.job,
         ballot: ballot.clone(),
-        task: work.task(),
+        task: assigned.task(),
         outcome,
         ran_ms,
         load,
@@ -256,22 +263,22 @@
     Action::Send(ballot.entry.clone(), frame)
 }
 
-const fn placed(work: &Work) -> PlacedTask {
+const fn placed(assigned: &AssignedTask) -> PlacedTask {
     PlacedTask {
-        key: work.key(),
-        lateness: work.item.lateness,
-        may_wait: work.item.may_wait,
+        key: assigned.key(),
+        lateness: assigned.item.lateness,
+        may_wait: assigned.item.may_wait,
     }
 }
 
-pub(super) fn rejected(work: &Work, reject: Reject, load: LoadReport) -> Action {
+pub(super) fn rejected(assigned: &AssignedTask, reject: Reject, load: LoadReport) -> Action {
     let frame = Frame::Rejected(Rejected {
-        job: work.run.job,
-        ballot: work.run.ballot.clone(),
-        task: work.task(),
-        placement: work.item.placement,
+        job: assigned.run.job,
+        ballot: assigned.run.ballot.clone(),
+        task: assigned.task(),
+        placement: assigned.item.placement,
         reject,
         load,
     });
-    Action::Send(work.entry.clone(), frame)
+    Action::Send(assigned.entry.clone(), frame)
 }
--- a/crates/cassiarock-agent/src/work.rs
+++ b/crates/cassiarock-agent/src/work.rs
@@ -1,7 +1,7 @@
 //! Runs tasks at the worker.
 
 use crate::actor::Input;
-use crate::state::Work;
+use crate::state::AssignedTask;
 use cassiarock_claim::message::Outcome;
 use cassiarock_policy::place::TaskKey;
 use cassiarock_upstream::{self as upstream, Worker};
@@ -9,12 +9,12 @@
 use tokio::sync::mpsc;
 
 /// Runs a task and tells its end.
-pub(crate) fn spawn(worker: &Worker, work: Work, inputs: mpsc::Sender<Input>) {
+pub(crate) fn spawn(worker: &Worker, assigned: AssignedTask, inputs: mpsc::Sender<Input>) {
     let worker = worker.clone();
     tokio::spawn(async move {
-        let key = work.key();
+        let key = assigned.key();
         let began = Instant::now();
-        let outcome = worker.run(&run(work)).await;
+        let outcome = worker.run(&run(assigned)).await;
         let ran = began.elapsed();
         metrics::histogram!("cassiarock_agent_task_seconds").record(ran.as_secs_f64());
         // The actor is gone only when the process ends.
@@ -32,14 +32,14 @@
     });
 }
 
-fn run(work: Work) -> upstream::Run {
+fn run(assigned: AssignedTask) -> upstream::Run {
     upstream::Run {
-        job: work.run.job,
-        task: work.item.task,
-        round: work.run.ballot.round,
-        kind: work.run.kind,
-        payload: work.item.payload.into(),
-        limit: Duration::from_millis(work.run.limit_ms),
+        job: assigned.run.job,
+        task: assigned.item.task,
+        round: assigned.run.ballot.round,
+        kind: assigned.run.kind,
+        payload: assigned.item.payload.into(),
+        limit: Duration::from_millis(assigned.run.limit_ms),
     }
 }
 
