--- a/crates/cassiarock-agent/src/actor.rs
+++ b/crates/cassiarock-agent/src/actor.rs
@@ -18,40 +18,40 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// What happens to an agent.
+/// An input of the agent's actor.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// Something on a link.
+    /// A link opened or closed, or a frame arrived on it.
     Link(Event),
-    /// A task ended at the worker, after so many milliseconds.
+    /// A task ended at the upstream; the number is its run time in milliseconds.
     Ended(TaskKey, Outcome, u64),
-    /// The connection to the worker did not come about, so the task did not start.
+    /// The connection to the upstream could not be opened, so the task did not start.
     NotStarted(TaskKey),
-    /// The worker's health changed.
+    /// The upstream's health changed.
     Health(bool),
-    /// The log's state moved on.
+    /// The state folded from the log changed.
     Adopt(follow::Status),
-    /// Take no new work.
+    /// Accept no new tasks.
     Leave,
-    /// Take new work after all.
+    /// Accept new tasks again: the order to leave was cancelled.
     Stay,
-    /// Say what must be at other agents, these excluded, before this one goes.
+    /// Return the records that other agents, except these, must hold before this one leaves.
     HandOver(BTreeSet<Process>, oneshot::Sender<Handover>),
 }
 
-/// What must be at other agents before this one goes.
+/// The records that other agents must hold before this one leaves.
 #[derive(Debug)]
 pub(crate) struct Handover {
-    /// The membership version by which they were chosen.
+    /// The membership version by which the agents were chosen.
     pub(crate) version: u64,
-    /// What each of them must take.
+    /// The records for each agent.
     pub(crate) records: HashMap<Process, HandOver>,
 }
 
-/// Inputs handed to the actor at once. The reply is how long nothing is due.
+/// Inputs handed to the actor at once. The reply is the time until the next poll is due.
 pub(crate) struct Batch(pub(crate) Vec<Input>);
 
-/// The shell around the state: links, worker and status.
+/// Performs I/O for the state: links, upstream and status.
 #[derive(Actor)]
 pub(crate) struct Agent {
     pub(crate) state: State,
@@ -99,7 +99,7 @@
                 Vec::new()
             }
             Input::HandOver(excluded, reply) => {
-                // Nobody waits for it any more if the process is being ended.
+                // The receiver is dropped when the process is being shut down.
                 let _ = reply.send(self.state.hand_over(&excluded));
                 Vec::new()
             }
--- a/crates/cassiarock-agent/src/announce.rs
+++ b/crates/cassiarock-agent/src/announce.rs
@@ -1,4 +1,4 @@
-//! Announces the agent on the log.
+//! Announces on the log that the agent joins or leaves.
 
 use cassiarock_id::{Process, Wall};
 use cassiarock_platform::follow::{Backoff, Status};
@@ -8,12 +8,12 @@
 use cassiarock_rule::{Member, Record};
 use std::time::Duration;
 
-/// How long one append is tried before the membership is looked at again.
+/// How long one append is tried before the membership is checked again.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Announces `member`, and again whenever the membership has lost it, as after a restore. A
-/// thousand agents that return at once take turns, so that they stay within the log's few
-/// hundred appends a second.
+/// Announces `member`, and again whenever the membership lacks it, as after a restore. Agents
+/// take turns, so that a thousand that return at once stay within the log's few hundred
+/// appends a second.
 pub(crate) async fn join(log: Log, follower: &Follower, member: Member) {
     let mut status = follower.subscribe();
     let mut backoff = Backoff::default();
@@ -40,15 +40,15 @@
                 wait_until_applied(&mut status, offset).await;
             }
             Err(error) => {
-                log::warn!(agent:% = member.process; "join: {error}");
+                log::warn!(agent:% = member.process; "cannot announce that the agent joins: {error}");
                 tokio::time::sleep(backoff.fail(rand::random())).await;
             }
         }
     }
 }
 
-/// Announces that `process` has gone, after it handed over by membership `version`. True
-/// once that counts.
+/// Announces that `process` has left, after a handover by membership `version`. Returns whether
+/// the membership then counts it as retired.
 pub(crate) async fn leave(log: &Log, follower: &Follower, process: &Process, version: u64) -> bool {
     let mut status = follower.subscribe();
     let from = follower.status().next();
@@ -65,14 +65,15 @@
             state.is_some_and(|state| state.membership.history.is_retired(process))
         }
         Err(error) => {
-            log::warn!(agent:% = process; "leave: {error}");
+            log::warn!(agent:% = process; "cannot announce that the agent leaves: {error}");
             false
         }
     }
 }
 
-/// A data centre may be taken down at once. An agent whose turn does not come in time, or that
-/// finds the log down, goes on all the same, for it holds up its VM.
+/// Waits for this agent's turn to append, as all agents of a data centre may leave at once. If
+/// the turn does not come in time or the log is down, the agent goes on without it, because
+/// its VM waits for it to end.
 pub(crate) async fn wait_for_turn(follower: &Follower) {
     if follower.status().reachable {
         let mut status = follower.subscribe();
@@ -83,10 +84,11 @@
 
 async fn wait_until_applied(status: &mut tokio::sync::watch::Receiver<Status>, offset: u64) {
     let applied = status.wait_for(|status| status.next() > offset);
-    // Not folded in time: look at the membership again and announce once more.
+    // If the record is not applied in time, the caller checks the membership again.
     let _ = tokio::time::timeout(APPEND_TIMEOUT, applied).await;
 }
 
+/// The standing of `process` in the membership; absent while no state is known.
 pub(crate) fn standing(status: &Status, process: &Process) -> Standing {
     let state = status.state.as_ref();
     state.map_or(Standing::Absent, |state| state.membership.standing(process))
--- a/crates/cassiarock-agent/src/error.rs
+++ b/crates/cassiarock-agent/src/error.rs
@@ -1,6 +1,6 @@
-//! Why an agent could not start.
+//! Errors that keep an agent from starting.
 
-/// What went wrong, with the step and the peer.
+/// Why an agent could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The peers' listener could not be opened; see the inner error.
@@ -12,7 +12,7 @@
     /// The log's client could not be set up: correct `log` in the settings.
     #[error(transparent)]
     Log(#[from] cassiarock_platform::Error),
-    /// The worker's client could not be set up: correct `worker` in the settings.
+    /// The upstream's client could not be set up: correct `worker` in the settings.
     #[error(transparent)]
     Worker(#[from] cassiarock_upstream::Error),
 }
--- a/crates/cassiarock-agent/src/health.rs
+++ b/crates/cassiarock-agent/src/health.rs
@@ -1,4 +1,4 @@
-//! Watches the worker's health.
+//! Checks the upstream's health.
 
 use crate::actor::Input;
 use cassiarock_settings::Health;
@@ -6,10 +6,11 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-/// Asks the worker again and again, and tells changes of its health, and on `leaving`
-/// that it is about to go. A worker counts as unhealthy after several failed checks in a
-/// row, because a single late answer is common under load and taking out a busy worker
-/// would push its load onto the others; it counts as healthy again after the first good one.
+/// Checks the upstream's health at an interval and reports changes to the actor. Sets `leaving`
+/// when the upstream says that it is about to shut down. An upstream counts as unhealthy after
+/// several failed checks in a row, because a single late answer is common under load and taking
+/// out a busy upstream would push its load onto the others. It counts as healthy again after
+/// the first successful check.
 pub(crate) async fn watch(
     worker: Worker,
     settings: Health,
--- a/crates/cassiarock-agent/src/leave.rs
+++ b/crates/cassiarock-agent/src/leave.rs
@@ -1,4 +1,5 @@
-//! The planned end: finish what runs, hand over what is known, say goodbye on the log.
+//! A planned shutdown: finishes the running tasks, hands claims and ledger over to other
+//! agents, and announces the end on the log.
 
 use crate::actor::{Handover, Input};
 use crate::announce;
@@ -14,24 +15,25 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-/// How long another agent may take to take what is handed over. A round trip costs about
-/// a millisecond; an agent that needs longer is lost, and the next one is asked.
+/// How long another agent may take to accept a handover. A round trip takes about a
+/// millisecond; an agent that needs longer is excluded, and another one is asked.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long written frames may take to leave the sockets.
+/// How long to wait for the last frames to be written to the sockets.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// How long an operator's order can be taken back. It also keeps the agent there to turn
-/// down the starts of entries that hear of the order late, which would find nobody else.
+/// How long an operator's order to leave can be cancelled. The agent stays for this time also
+/// to reject the starts of entries that learn of the order late, which would otherwise get no
+/// answer.
 const ORDER_CANCEL_WINDOW: Duration = Duration::from_secs(10);
 
-/// Hand-overs tried. Each fails only if the membership changed in the few milliseconds
-/// between it and its announcement, or a successor is leaving too.
+/// How often a handover is tried. An attempt fails only if the membership changed in the few
+/// milliseconds between the handover and its announcement, or if a successor is leaving too.
 const MAX_ATTEMPTS: usize = 8;
 
-/// Waits until the membership says that this agent is to leave: an operator ordered it,
-/// or it was removed while it was paused or cut off. A removed one may not act under its
-/// old identity any more; whoever runs it starts it anew.
+/// Waits until the membership says that this agent has to leave: an operator ordered it, or it
+/// was removed while it was paused or cut off. A removed agent may no longer act under its old
+/// identity and has to be restarted.
 pub(crate) async fn ordered_to_leave(follower: &Follower, me: &Process) {
     let mut status = follower.subscribe();
     let ordered = status.wait_for(|status| {
@@ -46,15 +48,15 @@
     }
 }
 
-/// Waits until the worker says that it is about to go.
+/// Waits until the upstream reports that it is about to shut down.
 pub(crate) async fn upstream_leaving(mut leaving: watch::Receiver<bool>) {
     if leaving.wait_for(|leaving| *leaving).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Waits until an order can no longer be taken back: some time has passed and all work is
-/// done, or the agent was removed.
+/// Waits until an order can no longer be cancelled: `ORDER_CANCEL_WINDOW` has passed and all
+/// tasks have ended, or the agent was removed.
 pub(crate) async fn order_is_final(
     follower: &Follower,
     me: &Process,
@@ -71,7 +73,7 @@
     }
 }
 
-/// Waits until the order to leave is taken back.
+/// Waits until the order to leave is cancelled.
 pub(crate) async fn order_cancelled(follower: &Follower, me: &Process) {
     let mut known = follower.subscribe();
     let active = known.wait_for(|known| announce::standing(known, me) == Standing::Active);
@@ -80,16 +82,16 @@
     }
 }
 
-/// Waits until nothing waits or runs here.
+/// Waits until no task waits or runs here.
 pub(crate) async fn wait_until_idle(mut status: watch::Receiver<Status>) {
-    // An error means that the actor is gone, and so is all work.
+    // An error means that the actor has ended, and all tasks with it.
     let _ = status
         .wait_for(|now| now.leaving && now.waiting + now.running == 0)
         .await;
     tokio::time::sleep(FLUSH_TIME).await;
 }
 
-/// What a leaving agent needs to hand over.
+/// What a leaving agent needs to hand its claims and ledger over.
 pub(crate) struct HandoverContext<'a> {
     pub(crate) inputs: &'a mpsc::Sender<Input>,
     pub(crate) log: &'a Log,
@@ -99,7 +101,7 @@
 }
 
 impl HandoverContext<'_> {
-    /// Hands claims and ledger over to the agents that need them next, and announces it.
+    /// Hands claims and ledger over to their next keepers, and announces it on the log.
     pub(crate) async fn hand_over(&self) {
         announce::wait_for_turn(self.follower).await;
         let mut excluded = BTreeSet::new();
@@ -118,7 +120,7 @@
                 return;
             }
         }
-        log::warn!(agent:% = self.me.process; "left without a hand-over that counts");
+        log::warn!(agent:% = self.me.process; "left without a confirmed handover");
     }
 
     async fn records(&self, excluded: BTreeSet<Process>) -> Option<Handover> {
@@ -128,7 +130,7 @@
         records.await.ok()
     }
 
-    /// Delivers to all successors; who did not take it.
+    /// Delivers the records to all successors; returns those that did not accept them.
     async fn deliver_all(&self, handover: Handover) -> Vec<Process> {
         let deliveries = handover.records.into_iter().map(|(agent, records)| {
             let address = self.address(&agent);
@@ -157,7 +159,7 @@
     }
 }
 
-/// Delivers records to one agent and waits for its receipt.
+/// Delivers records to one agent and waits for its receipt. Returns whether it accepted them.
 async fn deliver(
     address: Option<SocketAddr>,
     agent: Process,
@@ -171,7 +173,7 @@
     let (events, mut seen) = mpsc::channel(16);
     let _dialer = Dialer::new(address, Some(agent), me, key, events);
     let taken = async {
-        // A link ends when its sending end is dropped, and the receipt would be lost.
+        // Dropping the link's sender would close the link and lose the receipt.
         let mut _open = None;
         while let Some(event) = seen.recv().await {
             match event {
--- a/crates/cassiarock-agent/src/lib.rs
+++ b/crates/cassiarock-agent/src/lib.rs
@@ -1,4 +1,5 @@
-//! The agent process: guards one upstream, owns its slots, keeps the start ledger and claims.
+//! The agent process: protects one upstream, owns its slots, and keeps the start ledger and
+//! the claims.
 
 mod actor;
 mod announce;
--- a/crates/cassiarock-agent/src/run.rs
+++ b/crates/cassiarock-agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Sets an agent up, runs it, and takes it down.
+//! Starts, runs and stops an agent.
 
 use crate::actor::{Agent, Batch, Input};
 use crate::state::State;
@@ -40,16 +40,16 @@
     peers: SocketAddr,
     monitor: SocketAddr,
     drain_limit: Duration,
-    /// Whether the worker has said that it is about to go.
+    /// Whether the upstream has reported that it is about to shut down.
     worker_leaving: watch::Receiver<bool>,
     parts: Parts,
 }
 
 impl Running {
-    /// Binds the listeners and starts all parts.
+    /// Binds the listeners and starts all tasks.
     ///
     /// # Errors
-    /// If a listener or a client cannot be set up.
+    /// Returns an error if a listener or a client cannot be set up.
     pub async fn start(settings: settings::Agent) -> Result<Self, Error> {
         let process = Process::new(settings.name.clone(), Wall::now().as_millis());
         let listener = Listener::bind(settings.peers).await?;
@@ -125,28 +125,28 @@
         })
     }
 
-    /// Where other processes of the system connect.
+    /// The address to which other processes of the system connect.
     #[must_use]
     pub const fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Where status and metrics are served.
+    /// The address on which status and metrics are served.
     #[must_use]
     pub const fn monitor(&self) -> SocketAddr {
         self.monitor
     }
 
-    /// The status, also of later times.
+    /// The current status, with later updates.
     #[must_use]
     pub fn status(&self) -> watch::Receiver<Status> {
         self.status.clone()
     }
 
-    /// Serves until `shutdown` asks it to end, and says what was cut.
+    /// Serves until `shutdown` asks it to end, and reports the tasks that were cut off.
     ///
     /// # Errors
-    /// If one of its parts is gone before that.
+    /// Returns an error if one of its tasks ends before that.
     pub async fn until(mut self, mut shutdown: watch::Receiver<Stage>) -> Result<Report, Fault> {
         let mut parts = std::mem::take(&mut self.parts);
         tokio::select! {
@@ -166,8 +166,9 @@
         })
     }
 
-    /// Serves until the agent is to go: by signal, by its worker's notice or by order. An order can be taken back
-    /// for a while; the agent takes no new work in that time.
+    /// Serves until the agent has to leave: by a signal, by a notice of its upstream or by an
+    /// operator's order. An order can be cancelled for a while, in which the agent accepts no
+    /// new tasks.
     async fn serve(&self, shutdown: &mut watch::Receiver<Stage>) {
         let me = &self.identity.process;
         loop {
@@ -176,7 +177,7 @@
                 () = leave::upstream_leaving(self.worker_leaving.clone()) => return,
                 () = leave::ordered_to_leave(&self.follower, me) => {}
             }
-            // The actor takes inputs as long as its task runs.
+            // The actor accepts inputs as long as its task runs.
             let _ = self.inputs.send(Input::Leave).await;
             tokio::select! {
                 () = until(shutdown, Stage::Drain) => return,
@@ -190,7 +191,7 @@
 
     async fn drain(&self) {
         log::info!(agent:% = self.identity.process; "leaving");
-        // The actor takes inputs as long as its task runs.
+        // The actor accepts inputs as long as its task runs.
         let _ = self.inputs.send(Input::Leave).await;
         leave::wait_until_idle(self.status.clone()).await;
         let handover = leave::HandoverContext {
--- a/crates/cassiarock-agent/src/state/action.rs
+++ b/crates/cassiarock-agent/src/state/action.rs
@@ -1,4 +1,4 @@
-//! What the agent's state wants done.
+//! The actions that the agent's state returns.
 
 use cassiarock_id::{Process, Task};
 use cassiarock_policy::place::TaskKey;
@@ -6,28 +6,28 @@
 use cassiarock_wire::{Frame, Item, Run};
 use std::sync::Arc;
 
-/// A side effect for the shell to carry out.
+/// A side effect for the actor to carry out.
 #[derive(Debug)]
 pub(crate) enum Action {
-    /// Send a frame to a linked entry; dropped if the link is gone, because the entry
-    /// asks again over the next one.
+    /// Send a frame to a linked entry. If the link is closed the frame is dropped, because the
+    /// entry asks again over the next link.
     Send(Process, Frame),
-    /// Hand a task to the worker.
+    /// Run a task at the upstream.
     RunTask(Box<AssignedTask>),
-    /// Ask the worker to stop a task. What it answers then is still the outcome.
+    /// Ask the upstream to stop a task. Its answer to the run is still the outcome.
     Stop(TaskKey),
-    /// Take this state, which a peer knew, if it is newer than the log's.
+    /// Give the follower of the log this state from a peer, to use it if it is newer.
     Offer(Arc<rule::State>),
 }
 
-/// A task on its way to the worker.
+/// A task that an entry sent to this agent.
 #[derive(Clone, Debug)]
 pub(crate) struct AssignedTask {
-    /// The task's run, without its list of tasks.
+    /// What the tasks of the run have in common; its list of tasks is empty.
     pub(crate) run: Run,
     /// The task.
     pub(crate) item: Item,
-    /// Who sent it.
+    /// The entry that sent it.
     pub(crate) entry: Process,
 }
 
--- a/crates/cassiarock-agent/src/state/claims.rs
+++ b/crates/cassiarock-agent/src/state/claims.rs
@@ -1,4 +1,5 @@
-//! The agent as keeper of claims and witness of fences.
+//! The agent's part in the at-most-once protocol: keeps claims, accepts fences and hands its
+//! records over.
 
 use super::tasks::rejected;
 use super::{Action, State};
@@ -12,7 +13,7 @@
 use cassiarock_wire::{Answered, Found, Frame, HandOver, Reported, TakenOver};
 use std::collections::{BTreeSet, HashMap};
 
-/// At how many agents a leaver's records are kept, where there are as many.
+/// At how many agents the records of a leaving agent are kept, if there are as many.
 const HANDOVER_COPIES: usize = 2;
 
 impl State {
@@ -38,7 +39,7 @@
         vec![Action::Send(entry.clone(), Frame::Answered(answered))]
     }
 
-    /// Tells who owns a job, to an entry that looks for its answer.
+    /// Tells an entry that looks for a job's answer which entry owns the job.
     pub(super) fn handle_find(&self, entry: &Process, job: Job) -> Vec<Action> {
         let owner = self.keeper.owner(job);
         let found = Found {
@@ -74,7 +75,7 @@
         actions
     }
 
-    /// Takes a waiting task from the queue and tells the attempt that had placed it.
+    /// Removes a waiting task from the queue and reports that to the attempt that placed it.
     fn withdraw(&mut self, key: TaskKey, fence: &Fence, now: Now) -> Option<Action> {
         self.slots.cancel(&key);
         let assigned = self.queued.remove(&key)?;
@@ -93,8 +94,8 @@
         vec![Action::Send(agent.clone(), receipt)]
     }
 
-    /// What must be at other agents before this one goes. Those that refused are passed
-    /// over, as long as enough others are there to find a record at.
+    /// The records that other agents must hold before this one leaves. Agents in `excluded` are
+    /// passed over as long as enough others remain at which the records can be found.
     pub(crate) fn hand_over(&mut self, excluded: &BTreeSet<Process>) -> Handover {
         let others = self.view.members.iter().filter(|other| **other != self.me);
         let candidates = others.clone().filter(|other| !excluded.contains(*other));
--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The agent's decisions: frames and events in, actions out, without I/O or clock.
+//! The agent's decisions: takes frames and events and returns actions, without I/O or a clock
+//! of its own.
 
 mod action;
 mod claims;
@@ -20,11 +21,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the memories forget what is too old: far below the time that is kept, and
-/// rare enough to cost nothing.
+/// How often old records are removed from ledger and keeper: far shorter than the retention
+/// time, and rare enough that the cost is negligible.
 const EVICTION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// All that one agent knows.
+/// The state of an agent.
 #[derive(Debug)]
 pub(crate) struct State {
     me: Process,
@@ -38,11 +39,11 @@
     healthy: bool,
     /// Tasks that wait for a slot.
     queued: HashMap<TaskKey, AssignedTask>,
-    /// Tasks at the worker.
+    /// Tasks that run at the upstream.
     running: HashMap<TaskKey, AssignedTask>,
     /// The linked entries.
     entries: HashMap<Process, Entry>,
-    /// The log's state, as this agent knows it.
+    /// The newest state of the log that this agent knows.
     rules: Arc<rule::State>,
     behind: Behind,
 }
@@ -50,9 +51,9 @@
 /// What an agent knows of a linked entry.
 #[derive(Debug)]
 struct Entry {
-    /// Where it takes links itself.
+    /// The address at which it accepts links.
     address: Name,
-    /// When it sent its last ping, by its own clock.
+    /// When it sent its last ping, by the entry's clock.
     last_ping_sent: Wall,
 }
 
@@ -80,8 +81,8 @@
         }
     }
 
-    /// An entry opened a link. What it counted on the last one begins anew. All entries
-    /// are told of each other: nothing else tells them.
+    /// An entry opened a link. Its counts of the previous link are reset. Sends all linked
+    /// entries the list of entries, which is their only way to learn of each other.
     pub(crate) fn link(&mut self, entry: Process, address: Name) -> Vec<Action> {
         self.slots.disconnect(&entry);
         let last_ping_sent = Wall::default();
@@ -102,14 +103,14 @@
             .collect()
     }
 
-    /// The last link with an entry is gone.
+    /// The last link with an entry closed.
     pub(crate) fn unlink(&mut self, entry: &Process) {
         self.entries.remove(entry);
         self.slots.disconnect(entry);
     }
 
-    /// The log's state moved on. The entries are told at once: until a majority of the
-    /// agents has confirmed a new view, they place nothing.
+    /// Adopts a newer state of the log. Sends the entries a pong at once, because they place
+    /// nothing until a majority of the agents has confirmed a new view.
     pub(crate) fn adopt(&mut self, rules: Arc<rule::State>, now: Now) -> Vec<Action> {
         self.rules = rules;
         let membership = &self.rules.membership;
@@ -121,7 +122,7 @@
         if view.version <= self.view.version {
             return Vec::new();
         }
-        // The ledger takes its first version for the one at which this agent joined.
+        // The ledger treats the first version set as the one at which this agent joined.
         if !view.contains(&self.me) && self.view.version == 0 {
             return Vec::new();
         }
@@ -139,7 +140,7 @@
             .collect()
     }
 
-    /// Takes in one frame from a linked entry.
+    /// Handles one frame from a linked entry.
     pub(crate) fn handle_frame(&mut self, entry: &Process, frame: Frame, now: Now) -> Vec<Action> {
         match frame {
             Frame::Ping(ping) => self.handle_ping(entry, &ping, now),
@@ -159,13 +160,13 @@
             Frame::State(state) => vec![Action::Offer(state)],
             Frame::HandOver(records) => self.accept_handover(entry, records),
             other => {
-                log::warn!(from:% = entry; "a frame that agents do not take: {other:?}");
+                log::warn!(from:% = entry; "unexpected frame: {other:?}");
                 Vec::new()
             }
         }
     }
 
-    /// What is due: queued tasks to run, grants to send, old records to forget.
+    /// Does what is due: runs queued tasks, sends grants and removes old records.
     pub(crate) fn poll(&mut self, now: Now) -> Vec<Action> {
         if now.up.saturating_sub(self.last_eviction) >= EVICTION_INTERVAL {
             self.last_eviction = now.up;
@@ -175,7 +176,7 @@
         self.poll_slots(now)
     }
 
-    /// From now on nothing new starts here.
+    /// Starts no new tasks from now on, and returns the queued ones.
     pub(crate) fn leave(&mut self, now: Now) -> Vec<Action> {
         self.leaving = true;
         self.ledger.leave();
@@ -187,24 +188,24 @@
         actions
     }
 
-    /// Takes new work again. The entries learn it from the membership.
+    /// Accepts new tasks again. The entries learn it from the membership.
     pub(crate) const fn cancel_leave(&mut self) {
         self.leaving = false;
         self.ledger.cancel_leave();
     }
 
-    /// How many tasks wait and how many run.
+    /// The numbers of waiting and of running tasks.
     pub(crate) fn load(&self) -> (usize, usize) {
         (self.queued.len(), self.running.len())
     }
 
-    /// When `poll` has to be called at the latest.
+    /// The latest time for the next call of `poll`.
     pub(crate) fn next_poll(&self) -> Option<Duration> {
         self.slots.next_poll()
     }
 
-    /// The worker's health changed. An unhealthy worker's slots are not offered, and
-    /// starts that come all the same are proved not started.
+    /// The upstream's health changed. Slots of an unhealthy upstream are not offered, and starts
+    /// that arrive anyway are rejected as not started.
     pub(crate) const fn set_healthy(&mut self, healthy: bool) {
         self.healthy = healthy;
     }
@@ -229,8 +230,8 @@
         actions
     }
 
-    /// `sent` is when the entry sent its last ping: an unasked pong proves no more than
-    /// the answer to that ping did, but for the view.
+    /// Answers a ping that the entry sent at `sent`. A pong sent without a new ping repeats the
+    /// time of the last one: apart from the view it proves no more than the answer to that ping.
     fn pong(&mut self, entry: &Process, sent: Wall, now: Now) -> Action {
         let adopted = now.up.saturating_sub(self.view_adopted_at);
         let pong = Pong {
@@ -244,7 +245,7 @@
         Action::Send(entry.clone(), Frame::Pong(pong))
     }
 
-    /// What an entry is told of the slots.
+    /// The load report for an entry. It offers no slots while the upstream is unhealthy.
     fn load_for(&mut self, entry: &Process, now: Now) -> LoadReport {
         let load = self.slots.load_report(entry, now.up);
         if self.healthy {
--- a/crates/cassiarock-agent/src/state/tasks.rs
+++ b/crates/cassiarock-agent/src/state/tasks.rs
@@ -1,4 +1,4 @@
-//! Starts, ends and cancellations of tasks.
+//! Starts, outcomes and cancellations of tasks.
 
 use super::{Action, AssignedTask, State};
 use cassiarock_claim::Ballot;
@@ -46,7 +46,7 @@
         actions
     }
 
-    /// Asks the ledger, before the slots: a repeat must not take a second slot.
+    /// Asks the ledger before the slots, so that a repeated start does not take a second slot.
     fn admit(
         &mut self,
         assigned: AssignedTask,
@@ -57,8 +57,8 @@
     ) {
         let start = assigned.run.start(&assigned.item);
         match self.ledger.start(&start, now.wall) {
-            // Only after the ledger was asked: a repeat of a task that runs here must not be
-            // told that it has not started, and a refused start must stay refused.
+            // Health is checked only after the ledger: a repeated start of a task that runs here
+            // must not be reported as not started, and a refused start must stay refused.
             StartDecision::Run if !self.healthy => {
                 self.ledger.withdraw_start(&start);
                 refused.push((assigned, Some(Reject::Full)));
@@ -108,7 +108,7 @@
         Some(Action::RunTask(Box::new(assigned)))
     }
 
-    /// The worker's end of a task.
+    /// Handles the outcome of a task that ended at the upstream.
     pub(crate) fn handle_outcome(
         &mut self,
         key: TaskKey,
@@ -140,7 +140,7 @@
         actions
     }
 
-    /// The connection to the worker did not come about: the task has not started, and the
+    /// The connection to the upstream could not be opened: the task has not started, and the
     /// entry may place it elsewhere.
     pub(crate) fn handle_not_started(&mut self, key: TaskKey, now: Now) -> Vec<Action> {
         let Some(assigned) = self.running.remove(&key) else {
@@ -149,7 +149,7 @@
         let ballots = self.ledger.revert_begin(key.job, key.task);
         let finish = self.slots.finish(&key, now.up);
         let mut actions = vec![rejected(&assigned, Reject::Full, finish.load)];
-        // An attempt that took the job over waits for the task, too.
+        // An attempt that took the job over waits for the task as well.
         for (ballot, placement) in ballots {
             if ballot == assigned.run.ballot {
                 continue;
@@ -224,8 +224,8 @@
         actions
     }
 
-    /// Gives the tasks that wait for a slot back to their entries. Left here they would
-    /// start at a leaving upstream as its slots come free, seconds later.
+    /// Returns the tasks that wait for a slot to their entries. Otherwise they would start at a
+    /// leaving upstream seconds later, when its slots become free.
     pub(super) fn return_queued(&mut self, now: Now) -> Vec<Action> {
         let queued: Vec<AssignedTask> = self.queued.drain().map(|(_, assigned)| assigned).collect();
         let mut actions = Vec::new();
--- a/crates/cassiarock-agent/src/work.rs
+++ b/crates/cassiarock-agent/src/work.rs
@@ -1,4 +1,4 @@
-//! Runs tasks at the worker.
+//! Runs tasks at the upstream.
 
 use crate::actor::Input;
 use crate::state::AssignedTask;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Runs a task and tells its end.
+/// Runs a task and sends its outcome to the actor.
 pub(crate) fn spawn(worker: &Worker, assigned: AssignedTask, inputs: mpsc::Sender<Input>) {
     let worker = worker.clone();
     tokio::spawn(async move {
@@ -17,12 +17,12 @@
         let outcome = worker.run(&run(assigned)).await;
         let ran = began.elapsed();
         metrics::histogram!("cassiarock_agent_task_seconds").record(ran.as_secs_f64());
-        // The actor is gone only when the process ends.
+        // The actor ends only with the process.
         let _ = inputs.send(input(key, outcome, ran)).await;
     });
 }
 
-/// Asks the worker to stop a task.
+/// Asks the upstream to stop a task.
 pub(crate) fn stop(worker: &Worker, key: TaskKey) {
     let worker = worker.clone();
     tokio::spawn(async move {
--- a/crates/cassiarock-entry/src/actor.rs
+++ b/crates/cassiarock-entry/src/actor.rs
@@ -17,32 +17,32 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// The pause between two heartbeats on a link: three fit into the silence after which a
-/// link counts as dead, so that one or two may be late.
+/// The interval between heartbeats on a link. Three fit into the timeout after which a link
+/// counts as dead, so that one or two may be late.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(900);
 
-/// How long a link with another entry is tried for.
+/// How long to try to open a link to another entry.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What happens to an entry.
+/// An input of the entry's actor.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// A caller asks.
+    /// A call of a caller.
     Call(Call),
-    /// Something on a link.
+    /// A link opened or closed, or a frame arrived on it.
     Link(Event),
-    /// The log's state moved on.
+    /// The state folded from the log changed.
     Adopt(follow::Status),
     /// An operator asks which rule would decide a request.
     Explain(Request, oneshot::Sender<Explanation>),
-    /// Take no new jobs.
+    /// Accept no new jobs from now on.
     Leave,
 }
 
-/// Inputs handed to the actor at once. The reply is how long nothing is due.
+/// Inputs handed to the actor at once. The reply is the time until the next poll is due.
 pub(crate) struct Batch(pub(crate) Vec<Input>);
 
-/// The shell around the state: links, callers and status.
+/// Performs I/O for the state: links, callers and status.
 #[derive(Actor)]
 pub(crate) struct Entry {
     pub(crate) state: State,
@@ -51,7 +51,7 @@
     pub(crate) key: Key,
     pub(crate) links: Links,
     pub(crate) dialers: HashMap<Process, Dialer>,
-    /// Links with other entries, with when they were asked for.
+    /// The dialers of links with other entries, with the time when each was requested.
     pub(crate) entries: HashMap<Process, (Dialer, Duration)>,
     pub(crate) follower: Arc<Follower>,
     pub(crate) log: Log,
@@ -87,7 +87,7 @@
             Input::Link(event) => self.handle_link_event(event, now),
             Input::Adopt(status) => self.adopt(&status, now),
             Input::Explain(request, reply) => {
-                // The operator may have gone.
+                // The operator may have disconnected.
                 let _ = reply.send(self.state.explain(request, now));
                 Vec::new()
             }
@@ -156,8 +156,8 @@
         self.state.adopt(state.clone(), now)
     }
 
-    /// Keeps one link to each member. Links to former ones end here, which tells the
-    /// state that they are gone.
+    /// Keeps one link to each member. Closes the links to former members; the state learns of
+    /// that as of any closed link.
     fn dial_members(&mut self, membership: &Membership) {
         let members = membership.members.values();
         self.dialers
@@ -185,7 +185,7 @@
         for process in self.links.peers() {
             self.ping(process, now.wall);
         }
-        // An entry that cannot be linked is gone; its successor has another identity.
+        // An entry that cannot be reached has ended: a restarted one has another identity.
         let links = &self.links;
         self.entries.retain(|process, (_, asked)| {
             links.contains(process) || now.up < *asked + DIAL_TIMEOUT
@@ -213,20 +213,20 @@
         }
     }
 
-    /// Announces that an agent has gone, when the log answers and this process has its turn.
+    /// Announces that an agent has left, once the log answers and it is this process's turn.
     fn remove(&self, agent: Process) {
         let (log, follower) = (self.log.clone(), self.follower.clone());
         let by = self.identity.process.name.clone();
         tokio::spawn(async move {
             if let Err(error) = remove::announce(&log, &follower, by, &agent).await {
-                log::warn!(agent:% = agent; "remove: {error}");
+                log::warn!(agent:% = agent; "cannot announce that the agent has left: {error}");
             }
         });
     }
 
     fn dial_entry(&mut self, entry: Process, address: &str, now: Now) {
         let Ok(address) = address.parse() else {
-            log::warn!(entry:% = entry; "no address to dial: {address}");
+            log::warn!(entry:% = entry; "invalid address of an entry: {address}");
             return;
         };
         let dialer = Dialer::new(
@@ -241,7 +241,7 @@
 
     fn answer(&mut self, ticket: Ticket, answer: Answer) {
         if let Some(caller) = self.callers.remove(&ticket) {
-            // The caller may have gone; the answer is kept for its next call.
+            // The caller may have disconnected; the answer is kept for its next call.
             let _ = caller.send(answer);
         }
     }
--- a/crates/cassiarock-entry/src/error.rs
+++ b/crates/cassiarock-entry/src/error.rs
@@ -1,8 +1,8 @@
-//! Why an entry could not start.
+//! Errors that keep an entry from starting.
 
 use std::net::SocketAddr;
 
-/// What went wrong, with the step and the peer.
+/// Why an entry could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The peers' listener could not be opened; see the inner error.
@@ -14,12 +14,12 @@
     /// The log's client could not be set up: correct `log` in the settings.
     #[error(transparent)]
     Log(#[from] cassiarock_platform::Error),
-    /// The callers' address is taken or not this VM's: correct `callers` in the settings.
+    /// The callers' address is in use or does not belong to this VM: correct `callers` in the settings.
     #[error("listen on {address} for callers: {source}")]
     Callers {
         /// The address from the settings.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/cassiarock-entry/src/explain.rs
+++ b/crates/cassiarock-entry/src/explain.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use tokio::sync::{mpsc, oneshot};
 
-/// A request to explain, as an operator describes it.
+/// The body of `POST /explain`: the request whose decision is to be explained.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ExplainRequest {
@@ -29,7 +29,7 @@
     repeatable: bool,
 }
 
-/// The route, which asks the actor: only it sees the rules in force and the loads.
+/// The route. It asks the actor, which holds the rules in force and the loads.
 pub(crate) fn router(inputs: mpsc::Sender<Input>) -> Router {
     Router::new()
         .route("/explain", post(explain))
--- a/crates/cassiarock-entry/src/lib.rs
+++ b/crates/cassiarock-entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry process: caller API, rules, admission, placement and whole answers.
+//! The entry process: caller API, rules, admission, placement and complete answers.
 
 mod actor;
 mod error;
--- a/crates/cassiarock-entry/src/remove.rs
+++ b/crates/cassiarock-entry/src/remove.rs
@@ -1,4 +1,4 @@
-//! Announces on the log that a silent agent has gone.
+//! Appends to the log that an unreachable agent has left.
 
 use cassiarock_id::{Name, Process, Wall};
 use cassiarock_platform::{Error, Follower, Log, publish};
@@ -7,11 +7,11 @@
 use cassiarock_rule::record::Body;
 use std::time::Duration;
 
-/// How long the append is tried; the agent is announced again later if it fails.
+/// How long one append is tried. If it fails, the agent is announced again later.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Waits for the log and for this process's turn, and announces the agent unless another
-/// entry has done so.
+/// Waits for the log and for this process's turn to append, then announces that the agent has
+/// left, unless another entry has already done so.
 pub(crate) async fn announce(
     log: &Log,
     follower: &Follower,
--- a/crates/cassiarock-entry/src/run.rs
+++ b/crates/cassiarock-entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Sets an entry up, runs it, and takes it down.
+//! Starts, runs and stops an entry.
 
 use crate::actor::{Batch, Entry, Input};
 use crate::state::{Settings, State};
@@ -24,10 +24,10 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// How long answers on their way to callers may take to leave the sockets.
+/// How long to wait for the last answers to be written to the sockets.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// Where a running entry listens.
+/// The addresses on which a running entry listens.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Addresses {
     /// For callers.
@@ -38,7 +38,7 @@
     pub monitor: SocketAddr,
 }
 
-/// An entry that serves.
+/// A running entry.
 #[derive(Debug)]
 pub struct Running {
     process: Process,
@@ -47,17 +47,17 @@
     status: watch::Receiver<Status>,
     drain_limit: Duration,
     _follower: Arc<Follower>,
-    /// Tells the callers' server to finish what it has.
+    /// Tells the callers' server to finish open requests and stop.
     close: watch::Sender<Stage>,
     server: JoinHandle<()>,
     parts: Parts,
 }
 
 impl Running {
-    /// Binds the listeners and starts all parts.
+    /// Binds the listeners and starts all tasks.
     ///
     /// # Errors
-    /// If a listener or a client cannot be set up.
+    /// Returns an error if a listener or a client cannot be set up.
     pub async fn start(settings: settings::Entry) -> Result<Self, Error> {
         let process = Process::new(settings.name.clone(), Wall::now().as_millis());
         let callers = bind(settings.callers).await?;
@@ -144,22 +144,22 @@
         })
     }
 
-    /// Where it listens.
+    /// The addresses on which it listens.
     #[must_use]
     pub const fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// The status, also of later times.
+    /// The current status, with later updates.
     #[must_use]
     pub fn status(&self) -> watch::Receiver<Status> {
         self.status.clone()
     }
 
-    /// Serves until `shutdown` asks it to end, and says what was cut.
+    /// Serves until `shutdown` asks it to end, and reports the jobs and tasks that were cut off.
     ///
     /// # Errors
-    /// If one of its parts is gone before that.
+    /// Returns an error if one of its tasks ends before that.
     pub async fn until(mut self, mut shutdown: watch::Receiver<Stage>) -> Result<Report, Fault> {
         tokio::select! {
             () = until(&mut shutdown, Stage::Drain) => {}
@@ -183,13 +183,13 @@
 
     async fn drain(&mut self) {
         log::info!(entry:% = self.process; "leaving");
-        // The actor takes inputs as long as its task runs.
+        // The actor accepts inputs as long as its task runs.
         let _ = self.inputs.send(Input::Leave).await;
         let mut status = self.status.clone();
-        // An error means that the actor is gone, and so are all jobs.
+        // An error means that the actor has ended, and all jobs with it.
         let _ = status.wait_for(|now| now.leaving && now.jobs == 0).await;
         self.close.send_replace(Stage::Drain);
-        // It has panicked otherwise, and nothing is left to wait for.
+        // An error means that the server panicked: nothing is left to wait for.
         let _ = (&mut self.server).await;
         tokio::time::sleep(FLUSH_TIME).await;
     }
--- a/crates/cassiarock-entry/src/state/action.rs
+++ b/crates/cassiarock-entry/src/state/action.rs
@@ -1,4 +1,4 @@
-//! What the entry's state wants done.
+//! The actions that the entry's state returns.
 
 use cassiarock_caller::Answer;
 use cassiarock_id::{Name, Process};
@@ -6,22 +6,22 @@
 use cassiarock_wire::Frame;
 use std::sync::Arc;
 
-/// Stands for a caller who waits; the shell holds the way back to it.
+/// Identifies a waiting caller; the actor holds the channel to answer it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Ticket(pub(crate) u64);
 
-/// A side effect for the shell to carry out.
+/// A side effect for the actor to carry out.
 #[derive(Debug)]
 pub(crate) enum Action {
-    /// Send a frame to a linked process. If the link is gone the frame is dropped: what
-    /// it would have done is settled when the link is back, or by its loss.
+    /// Send a frame to a linked process. If the link is closed the frame is dropped: the
+    /// state handles its loss when the link closes or opens again.
     Send(Process, Frame),
     /// Answer a caller.
     Answer(Ticket, Answer),
-    /// Open a link to another entry, and keep it for a while.
+    /// Open a link to another entry. It is given up if it does not open in time.
     Dial(Process, Name),
-    /// Announce that an agent has gone.
+    /// Announce on the log that an agent has left.
     Remove(Process),
-    /// Take this state, which a peer knew, if it is newer than the log's.
+    /// Give the follower of the log this state from a peer, to use it if it is newer.
     Offer(Arc<rule::State>),
 }
--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -1,4 +1,4 @@
-//! Which agents can be reached and what they say of themselves.
+//! The links with agents, and their heartbeats.
 
 use super::pending::Plan;
 use super::{Action, State};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 impl State {
-    /// A link with an agent works. Whatever was left open there is asked again.
+    /// A link with an agent opened. Requests that it has not answered are sent again.
     pub(crate) fn link_agent(&mut self, agent: &Process, now: Now) -> Vec<Action> {
         let membership = &self.rules.membership;
         let Some(member) = membership.members.get(&agent.name) else {
@@ -34,8 +34,8 @@
         self.step_owners(&Event::AgentReachable(agent.clone()), now)
     }
 
-    /// The link with an agent is gone. Tasks placed there stay where they are until the
-    /// agent answers again, or is known to have ended.
+    /// The link with an agent closed. Tasks placed there keep their placement until the agent
+    /// answers again or is known to have ended.
     pub(crate) fn unlink_agent(&mut self, agent: &Process, now: Now) -> Vec<Action> {
         if let Some(pool) = self.pool_of(agent) {
             pool.disconnect(agent);
@@ -52,7 +52,7 @@
         actions
     }
 
-    /// How many agents are linked.
+    /// The number of linked agents.
     pub(crate) fn agents(&self) -> usize {
         self.agents.len()
     }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// An agent is to stay after all; what runs there goes on.
+    /// An agent no longer leaves; the tasks that run there go on.
     pub(super) fn clear_agent_leaving(&mut self, agent: &Process) {
         if let Some(pool) = self.pool_of(agent) {
             pool.cancel_leaving(agent);
@@ -90,7 +90,7 @@
         Vec::new()
     }
 
-    /// Another entry's heartbeat.
+    /// Answers the heartbeat of another entry.
     pub(super) fn entry_pong(&self, entry: &Process, ping: &Ping) -> Action {
         let pong = Pong {
             sent: ping.sent,
--- a/crates/cassiarock-entry/src/state/answer.rs
+++ b/crates/cassiarock-entry/src/state/answer.rs
@@ -1,4 +1,4 @@
-//! Final answers: made from a job's end, and carried between entries.
+//! Final answers: how they are made from a job's outcome and encoded between entries.
 
 use super::pending::{PendingJob, StopReason};
 use cassiarock_caller::{Answer, Output};
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// When a caller whose job was refused without a better estimate may try again.
+/// When a caller whose job was refused may try again if there is no better estimate.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The answer for a job whose attempt has ended.
+/// Makes the answer of a job from the outcome of its attempt.
 pub(super) fn from_outcome(pending: &PendingJob, end: JobOutcome) -> Answer {
     match end {
         JobOutcome::Complete(outcomes) => complete(pending, outcomes),
@@ -34,7 +34,7 @@
         .collect();
     match results {
         Some(results) => Answer::Complete { results },
-        // Every task had begun; those that were stopped have no result.
+        // Every task had started; those that were stopped have no result.
         None if pending.stopped == Some(StopReason::Cancelled) => Answer::Cancelled {
             ran: task_ids(pending, |_| true),
             not_run: Vec::new(),
@@ -47,7 +47,7 @@
 }
 
 fn failed(pending: &PendingJob, reason: FailureReason, outcomes: &[Option<Outcome>]) -> Answer {
-    // Only a cancellation that ran to its end proves that the others never started.
+    // Only a completed cancellation proves that the other tasks never started.
     let proven = reason == FailureReason::Cancelled;
     let ran = task_ids(pending, |task| !proven || outcomes[task].is_some());
     // An attempt that took over learns of the cancellation from the agents.
@@ -114,7 +114,7 @@
         .collect()
 }
 
-/// A final answer on its way between entries.
+/// A final answer as it is sent between entries.
 #[derive(Deserialize, Serialize)]
 enum EncodedAnswer {
     Complete(Vec<(Name, String)>),
@@ -124,7 +124,7 @@
     Conflict,
 }
 
-/// The bytes of a final answer; none for an answer that is not final.
+/// Encodes a final answer; returns `None` for an answer that is not final.
 pub(super) fn encode(answer: &Answer) -> Option<Vec<u8>> {
     let stored = match answer {
         Answer::Complete { results } => {
@@ -151,7 +151,7 @@
     serde_json::to_vec(&stored).ok()
 }
 
-/// The answer that `bytes` encode.
+/// Decodes a final answer; returns `None` if `bytes` are invalid.
 pub(super) fn decode(bytes: &[u8]) -> Option<Answer> {
     let answer = match serde_json::from_slice(bytes).ok()? {
         EncodedAnswer::Complete(results) => {
--- a/crates/cassiarock-entry/src/state/calls.rs
+++ b/crates/cassiarock-entry/src/state/calls.rs
@@ -1,4 +1,4 @@
-//! What callers ask.
+//! Handles the calls of callers.
 
 use super::pending::{PendingJob, Plan, StopReason};
 use super::repeatable::RepeatableJob;
@@ -14,18 +14,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a caller is told to wait when the entry is leaving: the balancer needs this long
-/// to see it.
+/// When a caller may try again after the entry refused it because it is leaving: the load
+/// balancer needs this long to notice.
 const LEAVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a caller is told to wait when a rule refuses it: rules change by the minute.
+/// When a caller may try again after a rule refused it: rules change within minutes.
 const RULE_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Rules count memory in megabytes of 2^20 bytes, as callers declare it.
 const MEGABYTE: u64 = 1 << 20;
 
-/// The pause before an unanswered question is asked again: many round trips, few within
-/// a job's life.
+/// The interval at which unanswered requests are sent again: many round trips, and only a few
+/// times in the life of a job.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl State {
@@ -38,7 +38,7 @@
     ) -> Vec<Action> {
         let job = submission.job;
         if job.issued() > now.wall.plus(self.settings.clock_skew) {
-            // Such an id would pass for one born in a view that is not settled yet.
+            // Such an id would count as issued in a view that is not settled yet.
             let answer = Answer::Invalid {
                 field: "id".to_owned(),
                 reason: "its issue time lies in the future; set the caller's clock".to_owned(),
@@ -61,7 +61,7 @@
             };
             return vec![Action::Answer(ticket, answer)];
         }
-        // Nobody remembers a job of this age: it may have run.
+        // The records of jobs of this age are no longer kept: it may have run.
         if !submission.repeatable && job.issued() <= now.wall.minus(self.settings.remembered) {
             return vec![Action::Answer(ticket, Answer::Unknown)];
         }
@@ -87,7 +87,7 @@
         self.look_up(job, ticket, None, true, now)
     }
 
-    /// Starts nothing more of a job and ends it as soon as it is sure what ran.
+    /// Starts no more tasks of a job and ends it as soon as it is known which tasks ran.
     pub(super) fn stop(&mut self, job: Job, stop: StopReason, now: Now) -> Vec<Action> {
         let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return Vec::new();
@@ -98,7 +98,7 @@
         let remote = pending.remote_owner.clone();
         self.pool(&pool).withdraw(job);
         if let Some(remote) = remote {
-            // A deadline here is this caller's; the owner's caller has its own.
+            // The deadline is that of this entry's caller; the owner has its own.
             return cancelled
                 .then(|| remote.attach(job, true))
                 .into_iter()
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Asks the pool whether it takes the job; why not, if it does not.
+    /// Asks the pool to admit the job; returns the refusal if it does not.
     fn admit(
         &mut self,
         submission: &Submission,
@@ -197,8 +197,8 @@
         self.step_owner(job, Event::Submitted, now)
     }
 
-    /// Refuses a job that has not begun. "Not run" is said only after the claim was
-    /// closed: another entry may have the same job.
+    /// Refuses a job that has not begun. The answer "not run" is given only after the claim was
+    /// closed, because another entry may have the same job.
     fn refuse(&mut self, job: Job, refusal: StopReason, now: Now) -> Vec<Action> {
         let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return Vec::new();
@@ -222,7 +222,7 @@
         self.with_context(request, now)
     }
 
-    /// The request as it arrives at this entry at this time.
+    /// Adds this entry's data centre, the loads and the time to a request.
     pub(super) fn with_context(&self, request: rule::Request, now: Now) -> rule::Request {
         request
             .with_data_centre(self.settings.data_centre.clone())
@@ -231,7 +231,7 @@
     }
 }
 
-/// A job as the pool sees it. Declared needs and run times are the caller's guess.
+/// The submission of a job to its pool. Declared needs and run times are the caller's estimate.
 fn dispatch_submission(submission: &Submission, time_left: Duration) -> dispatch::Submission {
     let tasks = &submission.tasks;
     let need = tasks.iter().map(|task| task_need(&task.need));
@@ -252,7 +252,7 @@
 }
 
 fn task_need(need: &caller::Need) -> Resources {
-    // Whatever is out of range is more than any upstream has.
+    // A value that is out of range is more than any upstream has.
     let millis = (need.cores * 1000.0).clamp(0.0, 1e15) as u64;
     Resources::new(
         millis,
@@ -267,7 +267,7 @@
     needs.fold(rule::request::Need::default(), |most, need| {
         let memory = need.memory.div_ceil(MEGABYTE);
         rule::request::Need {
-            // A float is cut to the range of the whole number; none is negative here.
+            // The cast saturates at the range of u32; no value is negative here.
             cores: most.cores.max(need.cores.ceil() as u32),
             memory: most.memory.max(u32::try_from(memory).unwrap_or(u32::MAX)),
             accelerators: most.accelerators.max(need.accelerators),
--- a/crates/cassiarock-entry/src/state/claimed.rs
+++ b/crates/cassiarock-entry/src/state/claimed.rs
@@ -1,4 +1,5 @@
-//! Carries out what the owners of jobs decide.
+//! Jobs that run under a claim: passes events to their owners and carries out the actions
+//! that the owners return.
 
 use super::pending::{PendingJob, Plan, StopReason};
 use super::{Action, State, answer, calls};
@@ -11,12 +12,12 @@
 use cassiarock_wire::{Answered, Ended, Frame, Item, Rejected, Reported, Run};
 use std::time::Duration;
 
-/// How long after the deadline the proof that nothing ran may still come. An answer is
-/// due at once, but a round trip turns most "may have run" into a true "not run".
+/// How long after the deadline to wait for the proof that nothing ran. The answer is due at
+/// the deadline, but one more round trip turns most "may have run" into a proven "not run".
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
 impl State {
-    /// Takes an owner one step on.
+    /// Passes an event to the owner of a job.
     pub(super) fn step_owner(&mut self, job: Job, event: Event, now: Now) -> Vec<Action> {
         let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return Vec::new();
@@ -32,7 +33,7 @@
         actions
     }
 
-    /// Takes every owner one step on.
+    /// Passes an event to the owners of all jobs.
     pub(super) fn step_owners(&mut self, event: &Event, now: Now) -> Vec<Action> {
         let jobs: Vec<Job> = self.pending_jobs.keys().copied().collect();
         let mut actions = Vec::new();
@@ -42,7 +43,7 @@
         actions
     }
 
-    /// Repeats and deadlines that are due.
+    /// Handles the retries and deadlines that are due.
     pub(super) fn check_due_jobs(&mut self, now: Now) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some((at, job)) = self.timers.first().copied() {
@@ -118,7 +119,7 @@
             }
         };
         if failed {
-            // The job cannot be complete any more: what has not begun would be wasted.
+            // The job can no longer be complete: running its other tasks would be wasted work.
             actions.extend(self.stop(ended.job, StopReason::Failed, now));
         }
         actions
@@ -161,7 +162,7 @@
             return self.retry(job, now);
         }
         if pending.stopped.is_some() {
-            // The grace is over, or a cancellation has outlived its deadline.
+            // The grace time is over, or the deadline of a cancelled job passed.
             return self.expire(job, now);
         }
         self.update_timer(job, |pending| {
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Asks the keeper, or does without it at once if it is out of reach.
+    /// Sends a claim request to the keeper, or reports the keeper as unreachable at once.
     fn request_claim(&mut self, keeper: Process, request: ClaimRequest, now: Now) -> Vec<Action> {
         if self.agents.contains_key(&keeper) {
             metrics::counter!("cassiarock_entry_asks_total").increment(1);
@@ -243,7 +244,8 @@
         };
         let startable: Vec<Task> = owner.startable_tasks().collect();
         let pool = pending.pool.clone();
-        // The owner knows what may start, the pool what waits already.
+        // The owner knows which tasks may start, the pool which are queued already: withdrawing
+        // first avoids queueing a task twice.
         self.pool(&pool).withdraw(job);
         self.release(job, startable, now);
     }
--- a/crates/cassiarock-entry/src/state/follow.rs
+++ b/crates/cassiarock-entry/src/state/follow.rs
@@ -1,4 +1,4 @@
-//! Jobs that another entry owns: this one attaches there and passes the answer on.
+//! Jobs that another entry owns: this entry attaches to the owner and passes its answer on.
 
 use super::pending::{PendingJob, Plan, RemoteOwner, StopReason};
 use super::{Action, State, Ticket, answer};
@@ -10,18 +10,18 @@
 use cassiarock_wire::{Frame, Whole};
 use std::time::Duration;
 
-/// How long a link with the owner may take to come about. Longer than a handshake across
-/// regions, shorter than a caller's patience.
+/// How long a link with the owner may take to open. Longer than a handshake across regions,
+/// shorter than callers wait.
 const OWNER_LINK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a caller's question about a job of another entry is followed.
+/// How long to look for the answer when a caller asks about a job of another entry.
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A caller's question about a job that this entry has not taken in.
+/// Callers' questions about a job that is not pending at this entry.
 #[derive(Debug)]
 pub(super) struct Lookup {
     pub(super) tickets: Vec<Ticket>,
-    /// When it is answered with what is known.
+    /// When the callers are answered with what is known.
     pub(super) until: Duration,
     /// Whether the owner was found and said that the job has no answer yet.
     pub(super) running: bool,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Looks for a job's owner by asking its keeper.
+    /// Asks a job's keeper for the owner.
     pub(super) fn look_up(
         &mut self,
         job: Job,
@@ -90,7 +90,7 @@
         vec![Action::Send(keeper, Frame::Find(job))]
     }
 
-    /// The keeper names a job's owner, or knows none.
+    /// Handles the keeper's answer: the job's owner, or none if it knows none.
     pub(super) fn handle_found(
         &mut self,
         job: Job,
@@ -125,7 +125,7 @@
         actions
     }
 
-    /// The work goes on at another entry, which has the higher attempt.
+    /// Attaches to the entry with the higher attempt, which goes on with the job.
     pub(super) fn attach_to_owner(&mut self, job: Job, owner: Ballot, now: Now) -> Vec<Action> {
         let linked = self.entries.contains(&owner.entry);
         let Some(pending) = self.pending_jobs.get_mut(&job) else {
@@ -147,7 +147,7 @@
         }
         match address {
             Some(address) => vec![Action::Dial(entry, address)],
-            // The keeper has no link with the owner either: it is gone.
+            // The keeper has no link with the owner either: the owner has ended.
             None => self.take_over(job, now),
         }
     }
@@ -166,7 +166,7 @@
         remote.is_some_and(|f| f.until <= now.up && !self.entries.contains(&f.owner.entry))
     }
 
-    /// The owner is out of reach or does not own the job: take it over.
+    /// Takes the job over, as its owner is unreachable or does not own it.
     pub(super) fn take_over(&mut self, job: Job, now: Now) -> Vec<Action> {
         let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return Vec::new();
@@ -179,7 +179,7 @@
         self.step_owner(job, Event::OwnerLost, now)
     }
 
-    /// Another entry's link works.
+    /// A link with another entry opened: attaches to it for the jobs that it owns.
     pub(crate) fn link_entry(&mut self, entry: &Process) -> Vec<Action> {
         self.entries.insert(entry.clone());
         let pending_jobs = self.pending_jobs.iter();
@@ -197,7 +197,7 @@
             .collect()
     }
 
-    /// Another entry's link is gone.
+    /// The link with another entry closed: takes over the jobs that it owned.
     pub(crate) fn unlink_entry(&mut self, entry: &Process, now: Now) -> Vec<Action> {
         self.entries.remove(entry);
         for pool in self.pools.values_mut() {
@@ -215,7 +215,7 @@
         actions
     }
 
-    /// Another entry wants the answer of a job that is owned here.
+    /// Another entry asks for the answer of a job that is owned here.
     pub(super) fn handle_attach(
         &mut self,
         entry: &Process,
@@ -253,7 +253,7 @@
         actions
     }
 
-    /// The owner's word on a job.
+    /// Handles what an entry says of a job: its answer, or whether it owns the job.
     pub(super) fn handle_whole(&mut self, from: &Process, whole: Whole, now: Now) -> Vec<Action> {
         let job = whole.job;
         let answer = whole.answer.as_deref().and_then(answer::decode);
@@ -297,7 +297,7 @@
     }
 }
 
-/// The frame that tells an attached entry a final answer.
+/// Sends a final answer to an attached entry.
 pub(super) fn answer_frame(entry: Process, job: Job, answer: &Answer) -> Action {
     let whole = Whole {
         job,
@@ -312,8 +312,8 @@
     remote.is_some_and(|f| f.owner.entry == *entry)
 }
 
-/// Whether this work is the attempt that an attaching entry was told of. Two entries
-/// would wait for each other over an attempt that neither has taken up.
+/// Whether this entry owns the attempt that an attaching entry names. Without this check two
+/// entries could wait for each other over an attempt that neither has started.
 fn owns_attempt(pending: &PendingJob, ballot: Option<&Ballot>) -> bool {
     match &pending.plan {
         Plan::Repeatable(_) => true,
--- a/crates/cassiarock-entry/src/state/mod.rs
+++ b/crates/cassiarock-entry/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The entry's decisions: calls, frames and events in, actions out, without I/O or clock.
+//! The entry's decisions: takes calls, frames and events and returns actions, without I/O
+//! or a clock of its own.
 
 mod action;
 mod agents;
@@ -31,54 +32,54 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// All that one entry knows.
+/// The state of an entry.
 #[derive(Debug)]
 pub(crate) struct State {
     settings: Settings,
     rules: Arc<rule::State>,
     views: ViewHistory,
-    /// The decisions about each pool.
+    /// Admission and placement for each pool.
     pools: HashMap<Name, Dispatcher>,
     /// The pool of each linked agent.
     agents: HashMap<Process, Name>,
-    /// Members without a link, and since when.
+    /// Members without a link, and the time since which they have none.
     unreachable: HashMap<Process, Duration>,
     /// The linked entries.
     entries: HashSet<Process>,
     pending_jobs: HashMap<Job, PendingJob>,
-    /// When each work has to be looked at, the earliest first.
+    /// When each pending job has to be checked, the earliest first.
     timers: BTreeSet<(Duration, Job)>,
-    /// Callers who ask here for jobs that another entry owns.
+    /// Callers' questions about jobs that another entry owns.
     lookups: HashMap<Job, Lookup>,
     /// Final answers, kept for callers who ask again, each with the hash of the tasks: an
-    /// answer must not go to a submission of other tasks under the same id.
+    /// answer must not be given to a submission of other tasks under the same id.
     answers: HashMap<Job, (u64, Answer)>,
-    /// Their order, the oldest first.
+    /// The jobs in `answers`, the oldest answer first.
     answer_order: VecDeque<Job>,
-    /// Numbers this entry's attempts.
+    /// The serial number of this entry's last attempt.
     last_serial: u64,
     leaving: bool,
-    /// Tasks that are tried again, and when.
+    /// Lost tasks of repeatable jobs, and when each is released again.
     retries: BTreeSet<(Duration, Job, Task)>,
     behind: Behind,
-    /// The load of each pool, for the rules, as of the last judgement.
+    /// The load of each pool, for the rules, as of the last feasibility check.
     loads: rule::request::Loads,
-    /// When the pools are asked next for jobs that cannot be in time any more.
+    /// When the pools are next asked for jobs that can no longer meet their deadline.
     next_feasibility_check: Duration,
-    /// When the other entries are told next.
+    /// When the usage of teams is next sent to the other entries.
     next_usage_report: Duration,
 }
 
-/// How often jobs that cannot be in time any more are looked for: well within the
-/// shortest deadlines, and a pass over the admitted jobs each.
+/// How often to look for jobs that can no longer meet their deadline: well within the
+/// shortest deadlines, as each check is a pass over the admitted jobs.
 const FEASIBILITY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often the other entries are told what teams have used. A team can exceed its quota
-/// by what it gets from the others in this time.
+/// How often the usage of teams is sent to the other entries. A team can exceed its quota by
+/// what the other entries give it in this time.
 const USAGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many final answers are kept: some seconds' worth at the peak of one entry. Older
-/// ones are gathered from the agents again.
+/// How many final answers are kept: those of some seconds at the peak load of one entry.
+/// Older ones are gathered from the agents again.
 const MAX_ANSWERS: usize = 20_000;
 
 impl State {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Takes in one frame from a linked process.
+    /// Handles one frame from a linked process.
     pub(crate) fn handle_frame(&mut self, from: &Process, frame: Frame, now: Now) -> Vec<Action> {
         match frame {
             Frame::Ended(ended) => self.handle_ended(from, ended, now),
@@ -143,13 +144,13 @@
                 Vec::new()
             }
             other => {
-                log::warn!(from:% = from; "a frame that entries do not take: {other:?}");
+                log::warn!(from:% = from; "unexpected frame: {other:?}");
                 Vec::new()
             }
         }
     }
 
-    /// What is due: repeats, deadlines, tasks to send. Called after every batch of events.
+    /// Does what is due: retries, deadlines, tasks to send. Called after every batch of inputs.
     pub(crate) fn poll(&mut self, now: Now) -> Vec<Action> {
         let mut actions = self.check_due_jobs(now);
         actions.extend(self.expire_lookups(now));
@@ -161,7 +162,7 @@
         actions
     }
 
-    /// When `poll` has to be called at the latest.
+    /// The latest time for the next call of `poll`.
     pub(crate) fn next_poll(&self) -> Option<Duration> {
         let placers = self.pools.values().filter_map(Dispatcher::next_poll);
         let timer = self.timers.first().map(|(at, _)| *at);
@@ -174,7 +175,7 @@
         self.views.version().unwrap_or_default()
     }
 
-    /// The log offset up to which the state reaches.
+    /// The log offset that follows the last record in the state.
     pub(crate) fn next(&self) -> u64 {
         self.rules.next
     }
@@ -183,19 +184,19 @@
         self.leaving
     }
 
-    /// Jobs without an answer, tasks that wait, tasks that are placed.
+    /// The numbers of jobs without an answer, of waiting tasks and of placed tasks.
     pub(crate) fn load(&self) -> (usize, usize, usize) {
         let waiting = self.pools.values().map(Dispatcher::waiting).sum();
         let placed = self.pools.values().map(Dispatcher::outstanding).sum();
         (self.pending_jobs.len(), waiting, placed)
     }
 
-    /// From now on no new job is taken.
+    /// Accepts no new jobs from now on.
     pub(crate) const fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Ends a job: tells everybody who waits and keeps the answer.
+    /// Ends a job: answers all callers and entries that wait for it, and keeps the answer.
     fn finish(&mut self, job: Job, answer: Answer, now: Now) -> Vec<Action> {
         let Some(pending) = self.pending_jobs.remove(&job) else {
             return Vec::new();
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Looks at a work again, after a change of its times.
+    /// Changes the times of a pending job and sets its timer anew.
     fn update_timer(&mut self, job: Job, change: impl FnOnce(&mut PendingJob)) {
         let Some(pending) = self.pending_jobs.get_mut(&job) else {
             return;
--- a/crates/cassiarock-entry/src/state/pending.rs
+++ b/crates/cassiarock-entry/src/state/pending.rs
@@ -1,4 +1,4 @@
-//! One job at this entry, until its final answer.
+//! A job at this entry until its final answer.
 
 use super::repeatable::RepeatableJob;
 use super::{Action, Ticket};
@@ -19,15 +19,15 @@
     Repeatable(RepeatableJob),
 }
 
-/// The owner at another entry to which this one has attached.
+/// The owner at another entry to which this entry attaches.
 #[derive(Clone, Debug)]
 pub(super) struct RemoteOwner {
     pub(super) owner: Ballot,
-    /// When to give the owner up if no link with it has come about.
+    /// When to give the owner up if no link with it has opened.
     pub(super) until: Duration,
 }
 
-/// A job.
+/// A job that has no final answer yet.
 #[derive(Debug)]
 pub(super) struct PendingJob {
     pub(super) submission: Arc<Submission>,
@@ -35,24 +35,24 @@
     pub(super) pool: Name,
     pub(super) plan: Plan,
     pub(super) arrived: Duration,
-    /// When its answer is of no more use, in time since the process started.
+    /// The deadline, in time since the process started.
     pub(super) expires: Duration,
-    /// When to repeat what was not answered, or to end.
+    /// When to send unanswered requests again, or to end.
     pub(super) retry: Duration,
     /// Callers who wait for the answer.
     pub(super) waiting: Vec<Ticket>,
-    /// Entries that wait for it.
+    /// Entries that wait for the answer.
     pub(super) attached: Vec<Process>,
     pub(super) remote_owner: Option<RemoteOwner>,
-    /// Where the entry with the highest attempt takes links, as last heard.
+    /// The last known address of the entry with the highest attempt, for links.
     pub(super) owner_address: Option<Name>,
-    /// Why nothing more is to be started, if so.
+    /// Why no more tasks are started, if so.
     pub(super) stopped: Option<StopReason>,
-    /// The first task that failed, with the worker's reason.
+    /// The first task that failed, with the upstream's reason.
     pub(super) failure: Option<(Task, String)>,
 }
 
-/// Why a job is given up.
+/// Why a job was stopped.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum StopReason {
     /// Its caller cancelled it.
@@ -63,9 +63,9 @@
     Failed,
     /// It was not admitted.
     Refused {
-        /// Why.
+        /// The reason given to the caller.
         reason: String,
-        /// When a new submission has a chance.
+        /// When a new submission may succeed.
         retry_after: Duration,
     },
 }
@@ -87,7 +87,7 @@
         u16::try_from(self.submission.tasks.len()).unwrap_or(u16::MAX)
     }
 
-    /// When the work has to be looked at without input.
+    /// When the job has to be checked next if no input arrives.
     pub(super) fn next_check(&self) -> Duration {
         self.expires.min(self.retry)
     }
--- a/crates/cassiarock-entry/src/state/place.rs
+++ b/crates/cassiarock-entry/src/state/place.rs
@@ -1,4 +1,4 @@
-//! Sends what the placer decides.
+//! Sends the starts and demands that the pools' dispatchers decide.
 
 use super::pending::Plan;
 use super::{Action, State};
@@ -23,7 +23,7 @@
         self.pool(&pool).release(job, tasks, avoid, now.up);
     }
 
-    /// Sends starts and demands.
+    /// Sends the starts and demands that are due.
     pub(super) fn place(&mut self, now: Now) -> Vec<Action> {
         let mut actions = Vec::new();
         let pools: Vec<Name> = self.pools.keys().cloned().collect();
@@ -57,7 +57,7 @@
             let key = placed.key;
             match self.start_task(key, agent, now) {
                 Some(start) => self.add_to_run(&mut runs, start, placed, now),
-                // The owner does not allow this agent: try another one.
+                // The owner does not allow this agent: the task is placed at another one.
                 None => {
                     let wanted = self.pending_jobs.contains_key(&key.job);
                     self.pool(pool).undo_start(agent, &key, wanted);
--- a/crates/cassiarock-entry/src/state/repeatable.rs
+++ b/crates/cassiarock-entry/src/state/repeatable.rs
@@ -1,4 +1,4 @@
-//! A job whose tasks may be started more than once: no claim, no fences, fewer messages.
+//! Jobs whose tasks may be started more than once: no claim, no fences and fewer messages.
 
 use super::pending::Plan;
 use super::{Action, State, answer};
@@ -17,9 +17,9 @@
     pub(super) ballot: Ballot,
     outcomes: Vec<Option<Outcome>>,
     placed: BTreeMap<Task, Process>,
-    /// Placements of each task so far.
+    /// The number of placements of each task so far.
     attempts: Vec<u32>,
-    /// Placements that started nothing.
+    /// The number of placements that did not start the task.
     rejected_placements: u32,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Places a task; the number of its placement.
+    /// Places a task and returns the number of its placement.
     pub(super) fn place(&mut self, task: Task, agent: &Process) -> u32 {
         self.placed.insert(task, agent.clone());
         let attempts = &mut self.attempts[task.index()];
@@ -42,7 +42,7 @@
         *attempts
     }
 
-    /// Notes a task's end; the first one counts.
+    /// Records the outcome of a task; the first one counts.
     pub(super) fn record_outcome(&mut self, task: Task, outcome: Outcome) {
         self.placed.remove(&task);
         if let Some(known) = self.outcomes.get_mut(task.index()) {
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Takes back a lost placement; how often the task was tried before that, or none if
-    /// the task has an outcome.
+    /// Undoes a lost placement. Returns how often the task was placed before, or `None` if the
+    /// task has an outcome.
     fn undo_placement(&mut self, task: Task) -> Option<u32> {
         self.placed.remove(&task);
         let open = self.outcomes.get(task.index())?.is_none();
@@ -67,18 +67,18 @@
             .collect()
     }
 
-    /// What is placed now.
+    /// The placed tasks, each with its agent and the number of its placement.
     pub(super) fn placed(&self) -> impl Iterator<Item = (Task, &Process, u32)> {
         let placed = self.placed.iter();
         placed.map(|(task, agent)| (*task, agent, self.attempts[task.index()]))
     }
 
-    /// The outcomes, if every task has one.
+    /// The outcomes of all tasks, if every task has one.
     pub(super) fn all_outcomes(&self) -> Option<Vec<Outcome>> {
         self.outcomes.iter().cloned().collect()
     }
 
-    /// Takes back a placement that started nothing; false if it is not the last one.
+    /// Undoes a placement that did not start the task. Returns false if it is not the last one.
     pub(super) fn reject(&mut self, task: Task, placement: u32) -> bool {
         let Some(attempts) = self.attempts.get_mut(task.index()) else {
             return false;
@@ -125,8 +125,8 @@
         self.finish_repeatable(job, now)
     }
 
-    /// Starts a lost task again, if the budget allows it; after a while, so that tasks
-    /// which were lost together do not come back together.
+    /// Schedules a lost task for another start if the retry budget allows it. The delay spreads
+    /// tasks that were lost together, so that they do not start again at the same time.
     fn schedule_retry(&mut self, job: Job, task: Task, attempts: u32, now: Now) -> bool {
         let Some(pending) = self.pending_jobs.get(&job) else {
             return false;
@@ -143,7 +143,7 @@
         true
     }
 
-    /// Releases the tasks whose wait is over.
+    /// Releases the tasks whose retry delay is over.
     pub(super) fn release_due_retries(&mut self, now: Now) {
         while let Some((at, job, task)) = self.retries.first().copied() {
             if at > now.up {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// A start that started nothing costs no try; the task waits again.
+    /// Queues a rejected task again. A start that was rejected does not count as an attempt.
     pub(super) fn handle_repeatable_reject(
         &mut self,
         rejected: &Rejected,
@@ -173,7 +173,7 @@
         Vec::new()
     }
 
-    /// The agent is out of reach: its tasks may have run, and may run again.
+    /// The agent is unreachable: its tasks of the job may have run, and may run again.
     pub(super) fn handle_repeatable_loss(
         &mut self,
         job: Job,
@@ -192,7 +192,8 @@
         actions
     }
 
-    /// Nothing more is to be started. What runs may run to its end; nobody waits for it.
+    /// Starts no more tasks and asks the agents to cancel the placed ones. Does not wait for
+    /// those that run.
     pub(super) fn stop_repeatable(&mut self, job: Job, now: Now) -> Vec<Action> {
         let pending = self.pending_jobs.get(&job);
         let digest = pending.map_or(0, |pending| pending.submission.digest);
@@ -215,7 +216,7 @@
         actions
     }
 
-    /// Answers with what is known.
+    /// Ends the job with the outcomes known so far.
     pub(super) fn expire_repeatable(&mut self, job: Job, now: Now) -> Vec<Action> {
         let Some(repeat) = self.repeatable_job(job) else {
             return Vec::new();
--- a/crates/cassiarock-entry/src/state/settings.rs
+++ b/crates/cassiarock-entry/src/state/settings.rs
@@ -1,16 +1,16 @@
-//! What one entry is and how it decides; fixed for its life.
+//! The identity and settings of an entry, fixed while it runs.
 
 use cassiarock_claim::view::Timing;
 use cassiarock_id::{Name, Process};
 use cassiarock_policy::dispatch;
 use std::time::Duration;
 
-/// How long a view is held before older ones count as left. An entry grants itself half
-/// of it; with a ping every 0.9 s that survives one lost ping. Longer would make jobs
-/// that are born around a change of members gather for longer.
+/// How long a view is in force before older ones count as left. An entry grants itself half
+/// of it, which survives one lost ping at a ping every 0.9 s. A longer lease would make jobs
+/// issued around a change of members gather for longer.
 pub(crate) const LEASE: Duration = Duration::from_secs(4);
 
-/// How long after a view was settled jobs count as born in it, beyond the clock skew.
+/// How long after a view was settled jobs count as issued in it, beyond the clock skew.
 const MARGIN: Duration = Duration::from_millis(500);
 
 /// The identity and the settings of an entry.
--- a/crates/cassiarock-entry/src/state/teams.rs
+++ b/crates/cassiarock-entry/src/state/teams.rs
@@ -1,4 +1,4 @@
-//! Quotas of teams over all entries, and jobs that cannot be in time any more.
+//! Quotas of teams across all entries, and jobs that can no longer meet their deadline.
 
 use super::pending::StopReason;
 use super::{Action, FEASIBILITY_CHECK_INTERVAL, State, USAGE_INTERVAL};
@@ -10,7 +10,7 @@
 use cassiarock_wire::Frame;
 use std::collections::HashMap;
 
-/// The teams' shares by the configuration.
+/// The teams' shares as set in the configuration.
 pub(super) fn shares(configuration: &Configuration) -> HashMap<Name, Share> {
     let teams = configuration.teams.iter();
     teams
@@ -25,7 +25,7 @@
 }
 
 impl State {
-    /// The configuration moved on.
+    /// Applies the teams' shares of a changed configuration to all pools.
     pub(super) fn update_team_shares(&mut self) {
         let shares = shares(&self.rules.configuration);
         for pool in self.pools.values_mut() {
@@ -33,7 +33,8 @@
         }
     }
 
-    /// An agent names the entries linked to it. Of two entries the lower one dials.
+    /// An agent lists the entries linked to it. Dials those that are not linked here; of two
+    /// entries, the one with the lower id dials.
     pub(super) fn handle_entries(&mut self, entries: Vec<(Process, Name)>) -> Vec<Action> {
         let me = &self.settings.me;
         let unlinked = entries.into_iter().filter(|(entry, address)| {
@@ -44,7 +45,7 @@
             .collect()
     }
 
-    /// Another entry tells what its teams have used.
+    /// Applies the usage of teams at another entry.
     pub(super) fn apply_usage_news(
         &mut self,
         entry: &Process,
@@ -57,7 +58,7 @@
         Vec::new()
     }
 
-    /// Tells the other entries what teams have used here, if that is due and news.
+    /// Sends the other entries the usage of teams here, if that is due and has changed.
     pub(super) fn send_usage(&mut self, now: Now) -> Vec<Action> {
         if now.up < self.next_usage_report {
             return Vec::new();
@@ -75,8 +76,8 @@
             .collect()
     }
 
-    /// Gives up the jobs that cannot end before their deadline any more: their slots are
-    /// of use to others, and their callers are told at once.
+    /// Stops the jobs that can no longer end before their deadline, so that other jobs can use
+    /// their slots and their callers are answered at once.
     pub(super) fn stop_infeasible_jobs(&mut self, now: Now) -> Vec<Action> {
         if now.up < self.next_feasibility_check {
             return Vec::new();
--- a/crates/cassiarock-entry/src/state/unreachable.rs
+++ b/crates/cassiarock-entry/src/state/unreachable.rs
@@ -1,4 +1,4 @@
-//! Agents that have been out of reach for long.
+//! Removes agents that have been unreachable for long.
 
 use super::{Action, State};
 use cassiarock_id::Process;
@@ -6,18 +6,18 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a member may be out of reach before this entry announces that it has gone.
-/// Far above a replacement's restart or a short cut, because a removed agent's running
-/// tasks end as "may have run"; far below the time in which jobs kept by a dead agent
-/// have to be gathered.
+/// How long a member may be unreachable before this entry announces that it has left. Far
+/// longer than a replacement's restart or a short network failure, because the running tasks
+/// of a removed agent end as "may have run"; far shorter than the time in which jobs kept by a
+/// dead agent have to be gathered.
 const REMOVAL_DELAY: Duration = Duration::from_secs(15);
 
 impl State {
-    /// Announces the members that have been out of reach for long.
+    /// Announces the members that have been unreachable for longer than `REMOVAL_DELAY`.
     ///
-    /// Made for agents whose VM died. An entry that is cut off itself takes all agents
-    /// for dead: it has no majority, hence no authority, and removes none. What several
-    /// entries remove together is bounded by the fold.
+    /// This removes agents whose VM died. An entry that is itself cut off sees all agents as
+    /// unreachable; without a majority it has no authority and removes none. The fold of the
+    /// log bounds how many agents several entries remove together.
     pub(super) fn remove_unreachable(&mut self, now: Now) -> Vec<Action> {
         let authority = self.views.authority_until();
         if self.unreachable.is_empty() || authority.is_none_or(|until| until <= now.wall) {
@@ -27,13 +27,13 @@
         let overdue = overdue.filter(|(_, since)| now.up.saturating_sub(**since) >= REMOVAL_DELAY);
         let overdue: Vec<Process> = overdue.map(|(agent, _)| agent.clone()).collect();
         for agent in &overdue {
-            // Asked again after as long, if the log does not take it.
+            // If the append to the log fails, it is tried again after the same delay.
             self.unreachable.insert(agent.clone(), now.up);
         }
         overdue.into_iter().map(Action::Remove).collect()
     }
 
-    /// Brings the silent members in line with a new membership.
+    /// Updates the unreachable members from the membership and the links.
     pub(super) fn update_unreachable(&mut self, now: Now) {
         let members = self.rules.membership.members.values();
         let unlinked = members.filter(|member| !self.agents.contains_key(&member.process));
--- a/crates/cassiarock-entry/src/state/views.rs
+++ b/crates/cassiarock-entry/src/state/views.rs
@@ -1,4 +1,4 @@
-//! The membership as the protocol sees it.
+//! Changes of the log's state, and the membership views of the at-most-once protocol.
 
 use super::{Action, State};
 use cassiarock_claim::owner::Event;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl State {
-    /// Rules, configuration or membership moved on.
+    /// Adopts a newer state of rules, configuration and membership.
     pub(crate) fn adopt(&mut self, rules: Arc<rule::State>, now: Now) -> Vec<Action> {
         let before = self.membership();
         let former = std::mem::replace(&mut self.rules, rules);
@@ -23,7 +23,7 @@
         self.step_owners(&Event::ViewChanged, now)
     }
 
-    /// Orders to leave, and orders taken back.
+    /// Applies new and cancelled orders to leave.
     fn update_leaving_agents(&mut self, former: &rule::State) {
         let membership = Arc::clone(&self.rules.membership);
         for member in membership.members.values() {
@@ -37,9 +37,8 @@
         }
     }
 
-    /// Every version has to be told in order: the one left out may be the one by which
-    /// another entry still acts. Where some are not remembered any more, earlier jobs are
-    /// never proved unstarted.
+    /// Adopts every version in order, because another entry may still act by any of them. If
+    /// some versions are no longer kept, jobs issued earlier are never proved unstarted.
     fn adopt_views(&mut self) {
         let membership = Arc::clone(&self.rules.membership);
         let known = self.views.version();
@@ -50,7 +49,7 @@
         for view in membership.views(known.unwrap_or_default()) {
             self.views.adopt(View::new(view.version, view.members));
             if let Some((joined, at)) = view.joined {
-                // One clock is the agent's that joined, the other the caller's.
+                // Twice the skew: the agent that joined and the caller each have their own clock.
                 let from = at.plus(self.settings.clock_skew * 2);
                 self.views.record_successor(&joined, from);
             }
