--- a/crates/cassiarock-agent/src/leave.rs
+++ b/crates/cassiarock-agent/src/leave.rs
@@ -101,7 +101,8 @@
 }
 
 impl HandoverContext<'_> {
-    /// Hands claims and ledger over to their next keepers, and announces it on the log.
+    /// Hands claims and ledger over to the agents that need them next, and announces it on the
+    /// log.
     pub(crate) async fn hand_over(&self) {
         announce::wait_for_turn(self.follower).await;
         let mut excluded = BTreeSet::new();
--- a/crates/cassiarock-entry/src/state/follow.rs
+++ b/crates/cassiarock-entry/src/state/follow.rs
@@ -110,9 +110,13 @@
         dial.into_iter().collect()
     }
 
+    /// Answers the lookups whose time is over with what is known.
     pub(super) fn expire_lookups(&mut self, now: Now) -> Vec<Action> {
-        let late = self.lookups.iter().filter(|(_, f)| f.until <= now.up);
-        let late: Vec<(Job, bool)> = late.map(|(job, f)| (*job, f.running)).collect();
+        let late = self
+            .lookups
+            .iter()
+            .filter(|(_, lookup)| lookup.until <= now.up);
+        let late: Vec<(Job, bool)> = late.map(|(job, lookup)| (*job, lookup.running)).collect();
         let mut actions = Vec::new();
         for (job, running) in late {
             let answer = if running {
@@ -163,7 +167,9 @@
             .pending_jobs
             .get(&job)
             .and_then(|pending| pending.remote_owner.as_ref());
-        remote.is_some_and(|f| f.until <= now.up && !self.entries.contains(&f.owner.entry))
+        remote.is_some_and(|remote| {
+            remote.until <= now.up && !self.entries.contains(&remote.owner.entry)
+        })
     }
 
     /// Takes the job over, as its owner is unreachable or does not own it.
@@ -183,17 +189,17 @@
     pub(crate) fn link_entry(&mut self, entry: &Process) -> Vec<Action> {
         self.entries.insert(entry.clone());
         let pending_jobs = self.pending_jobs.iter();
-        let follows = pending_jobs.filter_map(|(job, pending)| {
+        let attaches = pending_jobs.filter_map(|(job, pending)| {
             let remote = pending
                 .remote_owner
                 .as_ref()
-                .filter(|f| f.owner.entry == *entry)?;
+                .filter(|remote| remote.owner.entry == *entry)?;
             Some(remote.attach(*job, pending.stopped == Some(StopReason::Cancelled)))
         });
         let lookups = self.lookups.iter();
-        let lookups = lookups.filter(|(_, f)| f.owner.as_ref() == Some(entry));
-        follows
-            .chain(lookups.map(|(job, f)| f.attach(*job, entry.clone())))
+        let lookups = lookups.filter(|(_, lookup)| lookup.owner.as_ref() == Some(entry));
+        attaches
+            .chain(lookups.map(|(job, lookup)| lookup.attach(*job, entry.clone())))
             .collect()
     }
 
@@ -215,7 +221,7 @@
         actions
     }
 
-    /// Another entry asks for the answer of a job that is owned here.
+    /// Handles an attach: another entry asks for the answer of a job that may be owned here.
     pub(super) fn handle_attach(
         &mut self,
         entry: &Process,
@@ -297,7 +303,7 @@
     }
 }
 
-/// Sends a final answer to an attached entry.
+/// The frame that sends a final answer to an attached entry.
 pub(super) fn answer_frame(entry: Process, job: Job, answer: &Answer) -> Action {
     let whole = Whole {
         job,
@@ -309,7 +315,7 @@
 
 fn is_owned_by(pending: &PendingJob, entry: &Process) -> bool {
     let remote = pending.remote_owner.as_ref();
-    remote.is_some_and(|f| f.owner.entry == *entry)
+    remote.is_some_and(|remote| remote.owner.entry == *entry)
 }
 
 /// Whether this entry owns the attempt that an attaching entry names. Without this check two
