--- a/crates/cassiarock-agent/src/health.rs
+++ b/crates/cassiarock-agent/src/health.rs
@@ -1,4 +1,4 @@
-//! Watches the worker's health.
+//! Checks the upstream's health.
 
 use crate::actor::Input;
 use cassiarock_settings::Health;
@@ -6,34 +6,35 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-/// Asks the worker again and again, and tells changes of its health, and on `leaving`
-/// that it is about to go. A worker counts as unhealthy after several failed checks in a
-/// row, because a single late answer is common under load and taking out a busy worker
-/// would push its load onto the others; it counts as healthy again after the first good one.
+/// Checks the upstream's health at an interval and reports changes to the actor. Sets `leaving`
+/// when the upstream says that it is about to shut down. An upstream counts as unhealthy after
+/// several failed checks in a row, because a single late answer is common under load and taking
+/// out a busy upstream would push its load onto the others. It counts as healthy again after
+/// the first successful check.
 pub(crate) async fn watch(
     worker: Worker,
-    setting: Health,
+    settings: Health,
     inputs: mpsc::Sender<Input>,
     leaving: watch::Sender<bool>,
 ) {
-    let mut ticks = interval(setting.interval);
+    let mut ticks = interval(settings.interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut record = Watch::new(setting.failures);
-    let mut told = None;
+    let mut record = Watch::new(settings.failures);
+    let mut reported = None;
     loop {
         ticks.tick().await;
-        let health = timeout(setting.timeout, worker.health()).await;
+        let health = timeout(settings.timeout, worker.health()).await;
         let health = health.ok().and_then(Result::ok);
         record.check(health.as_ref().is_some_and(|health| health.healthy));
         if health.is_some_and(|health| health.leaving) && !leaving.send_replace(true) {
             log::info!("worker leaving");
         }
-        let healthy = record.up() && (told == Some(true) || record.answered());
-        if told == Some(healthy) {
+        let healthy = record.up() && (reported == Some(true) || record.answered());
+        if reported == Some(healthy) {
             continue;
         }
         log::info!(healthy = healthy; "worker");
-        told = Some(healthy);
+        reported = Some(healthy);
         if inputs.send(Input::Health(healthy)).await.is_err() {
             return;
         }
--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -1,6 +1,6 @@
-//! Which agents can be reached and what they say of themselves.
+//! The links with agents, and their heartbeats.
 
-use super::work::Plan;
+use super::pending::Plan;
 use super::{Action, State};
 use cassiarock_claim::owner::Event;
 use cassiarock_id::{Job, Process};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 impl State {
-    /// A link with an agent works. Whatever was left open there is asked again.
+    /// A link with an agent opened. Requests that it has not answered are sent again.
     pub(crate) fn link_agent(&mut self, agent: &Process, now: Now) -> Vec<Action> {
         let membership = &self.rules.membership;
         let Some(member) = membership.members.get(&agent.name) else {
@@ -22,61 +22,61 @@
         let slots = u16::try_from(member.slots).unwrap_or(u16::MAX);
         let upstream = Upstream::new(agent.clone(), slots)
             .with_location(member.data_centre.clone(), member.rack.clone());
-        let has = member.has.as_ref().map_or(Resources::UNLIMITED, need);
+        let has = member.has.as_ref().map_or(Resources::UNLIMITED, resources);
         let (pool, leaving) = (member.pool.clone(), member.leaving);
         self.agents.insert(agent.clone(), pool.clone());
-        self.silent.remove(agent);
+        self.unreachable.remove(agent);
         let pool = self.pool(&pool);
         pool.add(upstream, has);
         if leaving {
             pool.start_leaving(agent);
         }
-        self.step_all(&Event::AgentReachable(agent.clone()), now)
+        self.step_owners(&Event::AgentReachable(agent.clone()), now)
     }
 
-    /// The link with an agent is gone. Tasks placed there stay where they are until the
-    /// agent answers again, or is known to have ended.
+    /// The link with an agent closed. Tasks placed there keep their placement until the agent
+    /// answers again or is known to have ended.
     pub(crate) fn unlink_agent(&mut self, agent: &Process, now: Now) -> Vec<Action> {
         if let Some(pool) = self.pool_of(agent) {
             pool.disconnect(agent);
         }
         self.agents.remove(agent);
-        self.note_silent(now);
-        let mut actions = self.step_all(&Event::AgentUnreachable(agent.clone()), now);
-        let repeats = self.works.iter();
-        let repeats = repeats.filter(|(_, work)| matches!(work.plan, Plan::Repeat(_)));
+        self.update_unreachable(now);
+        let mut actions = self.step_owners(&Event::AgentUnreachable(agent.clone()), now);
+        let repeats = self.pending_jobs.iter();
+        let repeats = repeats.filter(|(_, pending)| matches!(pending.plan, Plan::Repeatable(_)));
         let repeats: Vec<Job> = repeats.map(|(job, _)| *job).collect();
         for job in repeats {
-            actions.extend(self.lost_repeat(job, agent, now));
+            actions.extend(self.handle_repeatable_loss(job, agent, now));
         }
         actions
     }
 
-    /// How many agents are linked.
+    /// The number of linked agents.
     pub(crate) fn agents(&self) -> usize {
         self.agents.len()
     }
 
-    pub(super) fn agent_leaves(&mut self, agent: &Process) {
+    pub(super) fn set_agent_leaving(&mut self, agent: &Process) {
         if let Some(pool) = self.pool_of(agent) {
             pool.start_leaving(agent);
         }
     }
 
-    /// An agent is to stay after all; what runs there goes on.
-    pub(super) fn agent_stays(&mut self, agent: &Process) {
+    /// An agent no longer leaves; the tasks that run there go on.
+    pub(super) fn clear_agent_leaving(&mut self, agent: &Process) {
         if let Some(pool) = self.pool_of(agent) {
             pool.cancel_leaving(agent);
         }
     }
 
-    pub(super) fn pong(&mut self, agent: &Process, pong: &Pong, now: Now) -> Vec<Action> {
+    pub(super) fn handle_pong(&mut self, agent: &Process, pong: &Pong, now: Now) -> Vec<Action> {
         let members = &self.rules.membership.members;
         let ordered = members.get(&agent.name).is_some_and(|m| m.leaving);
         if pong.leaving || ordered {
-            self.agent_leaves(agent);
+            self.set_agent_leaving(agent);
         } else {
-            self.agent_stays(agent);
+            self.clear_agent_leaving(agent);
         }
         if let Some(pool) = self.pool_of(agent) {
             pool.grant(agent, pong.load, now.up);
@@ -90,7 +90,7 @@
         Vec::new()
     }
 
-    /// Another entry's heartbeat.
+    /// Answers the heartbeat of another entry.
     pub(super) fn entry_pong(&self, entry: &Process, ping: &Ping) -> Action {
         let pong = Pong {
             sent: ping.sent,
@@ -104,7 +104,7 @@
     }
 }
 
-fn need(has: &rule::request::Resources) -> Resources {
+fn resources(has: &rule::request::Resources) -> Resources {
     let cores = u64::from(has.cores);
     let accelerators = u64::from(has.accelerators);
     Resources::new(cores * 1000, u64::from(has.memory), accelerators)
--- a/crates/cassiarock-entry/src/state/work.rs
+++ b/crates/cassiarock-entry/src/state/pending.rs
@@ -1,6 +1,6 @@
-//! One job at this entry, until its final answer.
+//! A job at this entry until its final answer.
 
-use super::repeat::Repeat;
+use super::repeatable::RepeatableJob;
 use super::{Action, Ticket};
 use cassiarock_caller::Submission;
 use cassiarock_claim::Ballot;
@@ -14,47 +14,47 @@
 #[derive(Debug)]
 pub(super) enum Plan {
     /// At most once each, under a claim.
-    Once(Box<Owner>),
+    AtMostOnce(Box<Owner>),
     /// As often as the retry budget allows, without a claim.
-    Repeat(Repeat),
+    Repeatable(RepeatableJob),
 }
 
-/// The owner at another entry to which this one has attached.
+/// The owner at another entry to which this entry attaches.
 #[derive(Clone, Debug)]
-pub(super) struct Follow {
+pub(super) struct RemoteOwner {
     pub(super) owner: Ballot,
-    /// When to give the owner up if no link with it has come about.
+    /// When to give the owner up if no link with it has opened.
     pub(super) until: Duration,
 }
 
-/// A job.
+/// A job that has no final answer yet.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct PendingJob {
     pub(super) submission: Arc<Submission>,
     pub(super) rule: Name,
     pub(super) pool: Name,
     pub(super) plan: Plan,
     pub(super) arrived: Duration,
-    /// When its answer is of no more use, in time since the process started.
+    /// The deadline, in time since the process started.
     pub(super) expires: Duration,
-    /// When to repeat what was not answered, or to end.
+    /// When to send unanswered requests again, or to end.
     pub(super) retry: Duration,
     /// Callers who wait for the answer.
     pub(super) waiting: Vec<Ticket>,
-    /// Entries that wait for it.
+    /// Entries that wait for the answer.
     pub(super) attached: Vec<Process>,
-    pub(super) follow: Option<Follow>,
-    /// Where the entry with the highest attempt takes links, as last heard.
+    pub(super) remote_owner: Option<RemoteOwner>,
+    /// The last known address of the entry with the highest attempt, for links.
     pub(super) owner_address: Option<Name>,
-    /// Why nothing more is to be started, if so.
-    pub(super) stopped: Option<Stop>,
-    /// The first task that failed, with the worker's reason.
+    /// Why no more tasks are started, if so.
+    pub(super) stopped: Option<StopReason>,
+    /// The first task that failed, with the upstream's reason.
     pub(super) failure: Option<(Task, String)>,
 }
 
-/// Why a job is given up.
+/// Why a job was stopped.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) enum Stop {
+pub(super) enum StopReason {
     /// Its caller cancelled it.
     Cancelled,
     /// Its deadline passed.
@@ -63,14 +63,14 @@
     Failed,
     /// It was not admitted.
     Refused {
-        /// Why.
+        /// The reason given to the caller.
         reason: String,
-        /// When a new submission has a chance.
+        /// When a new submission may succeed.
         retry_after: Duration,
     },
 }
 
-impl Follow {
+impl RemoteOwner {
     /// Asks the owner for the answer, or to cancel the job.
     pub(super) fn attach(&self, job: Job, cancel: bool) -> Action {
         let frame = Frame::Attach {
@@ -82,13 +82,13 @@
     }
 }
 
-impl Work {
-    pub(super) fn tasks(&self) -> u16 {
+impl PendingJob {
+    pub(super) fn task_count(&self) -> u16 {
         u16::try_from(self.submission.tasks.len()).unwrap_or(u16::MAX)
     }
 
-    /// When the work has to be looked at without input.
-    pub(super) fn wake(&self) -> Duration {
+    /// When the job has to be checked next if no input arrives.
+    pub(super) fn next_check(&self) -> Duration {
         self.expires.min(self.retry)
     }
 }
