--- a/crates/cassiarock-lab/src/bound.rs
+++ b/crates/cassiarock-lab/src/bound.rs
@@ -9,7 +9,7 @@
 //! burst that is shorter than the objectives by nearly all of what the burst exceeds.
 
 use crate::caller::{Caller, FIRST};
-use crate::scenario::{Disturbance, Scenario, What};
+use crate::scenario::{Disturbance, DisturbanceKind, Scenario};
 use std::time::Duration;
 
 /// Lengths of spans, in seconds; the whole run is one more.
@@ -80,13 +80,21 @@
     let lost: Vec<&Disturbance> = scenario
         .disturbances
         .iter()
-        .filter(|what| matches!(what.what, What::Lost | What::AllLost) && what.is_on(at))
+        .filter(|disturbance| {
+            matches!(
+                disturbance.kind,
+                DisturbanceKind::Lost | DisturbanceKind::AllLost
+            ) && disturbance.is_active(at)
+        })
         .collect();
     let mut number = 0;
     let mut cores = 0.0;
     for group in &scenario.upstreams {
         for _ in 0..group.count {
-            if !lost.iter().any(|what| what.strikes(number)) {
+            if !lost
+                .iter()
+                .any(|disturbance| disturbance.affects_upstream(number))
+            {
                 cores += group.cores * group.speed;
             }
             number += 1;
--- a/crates/cassiarock-lab/src/caller.rs
+++ b/crates/cassiarock-lab/src/caller.rs
@@ -1,7 +1,7 @@
 //! Callers: who comes when, with which job, and for how long they wait.
 
 use crate::draw;
-use crate::scenario::{Kind, Scenario, What};
+use crate::scenario::{DisturbanceKind, JobKind, Scenario};
 use cassiarock_transient::{Job, JobClass, Resources, Stage};
 use rand::RngExt;
 use rand_chacha::ChaCha12Rng;
@@ -77,22 +77,24 @@
 /// memory, so that cutting them changes nothing but the rate.
 const RATE_STEP: f64 = 0.1;
 
-fn burst(scenario: &Scenario, kind: &Kind, at: f64) -> f64 {
+fn burst(scenario: &Scenario, kind: &JobKind, at: f64) -> f64 {
     let at = Duration::from_secs_f64(at);
     let bursts = scenario.disturbances.iter();
-    let bursts = bursts.filter(|what| what.what == What::Burst && what.is_on(at));
-    let bursts = bursts.filter(|what| what.concerns(&kind.name));
-    bursts.map(|what| what.factor).product()
+    let bursts = bursts.filter(|disturbance| {
+        disturbance.kind == DisturbanceKind::Burst && disturbance.is_active(at)
+    });
+    let bursts = bursts.filter(|disturbance| disturbance.affects_kind(&kind.name));
+    bursts.map(|disturbance| disturbance.factor).product()
 }
 
-fn class(kind: &Kind) -> JobClass {
+fn class(kind: &JobKind) -> JobClass {
     JobClass {
         route: kind.name.clone(),
         service: "s".into(),
         priority: kind.priority,
-        max_attempts: kind.attempts,
-        slack_factor: kind.slack,
-        target_latency: kind.target,
+        max_attempts: kind.max_attempts,
+        slack_factor: kind.slack_factor,
+        target_latency: kind.target_latency,
         version: 1,
     }
 }
@@ -105,22 +107,23 @@
     random: &mut ChaCha12Rng,
 ) -> Caller {
     let kind = &scenario.kinds[number];
-    let tasks = draw::amount(&kind.tasks, random).round().max(1.0) as u32;
+    let tasks = draw::amount(&kind.task_count, random).round().max(1.0) as u32;
     let cores = draw::amount(&kind.cores, random).max(0.001);
     let typical = draw::length(&kind.run_time, random);
     let runs: Vec<Duration> = (0..tasks)
         .map(|_| typical.mul_f64(draw::off(UNEVEN, random)))
         .collect();
     let longest = runs.iter().max().copied().unwrap_or_default();
-    let objective = longest.mul_f64(kind.slack) + kind.target;
+    let objective = longest.mul_f64(kind.slack_factor) + kind.target_latency;
     let offset = Duration::from_secs_f64(at);
-    let leaving = scenario
-        .disturbances
-        .iter()
-        .find(|what| what.what == What::Leaving && what.is_on(offset) && what.concerns(&kind.name));
-    let leaves = leaving.filter(|what| random.random_range(0.0..1.0) < what.factor);
+    let leaving = scenario.disturbances.iter().find(|disturbance| {
+        disturbance.kind == DisturbanceKind::Leaving
+            && disturbance.is_active(offset)
+            && disturbance.affects_kind(&kind.name)
+    });
+    let leaves = leaving.filter(|disturbance| random.random_range(0.0..1.0) < disturbance.factor);
     let leaves = leaves.map(|_| objective.mul_f64(random.random_range(0.0..1.0)));
-    let crashes = kind.crashing > 0.0 && random.random_range(0.0..1.0) < kind.crashing;
+    let crashes = kind.crash_share > 0.0 && random.random_range(0.0..1.0) < kind.crash_share;
     let crashing = crashes.then(|| random.random_range(0..tasks));
     Caller {
         at: FIRST + offset,
@@ -133,14 +136,14 @@
             stages: vec![Stage {
                 task_count: tasks,
                 demand: Resources::new((cores * 1000.0) as u64, kind.memory_mib, 0),
-                estimate: typical.mul_f64(draw::off(kind.estimate_off, random)),
+                estimate: typical.mul_f64(draw::off(kind.estimate_error, random)),
                 ..Stage::default()
             }],
         },
         class: class.clone(),
         runs,
         objective,
-        patience: objective * LATE + kind.patience,
+        patience: objective * LATE + kind.extra_patience,
         leaves,
         crashing,
     }
--- a/crates/cassiarock-lab/src/draw.rs
+++ b/crates/cassiarock-lab/src/draw.rs
@@ -1,6 +1,6 @@
 //! Draws from distributions.
 
-use crate::scenario::{Amount, Length};
+use crate::scenario::{DurationDistribution, ValueDistribution};
 use rand::RngExt;
 use rand_chacha::ChaCha12Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -14,12 +14,12 @@
     LogNormal::new(centre, variance.sqrt()).map_or(mean, |curve| curve.sample(random))
 }
 
-pub(crate) fn amount(amount: &Amount, random: &mut ChaCha12Rng) -> f64 {
-    log_normal(amount.mean, amount.spread, random).min(amount.most)
+pub(crate) fn amount(amount: &ValueDistribution, random: &mut ChaCha12Rng) -> f64 {
+    log_normal(amount.mean, amount.relative_deviation, random).min(amount.max)
 }
 
-pub(crate) fn length(length: &Length, random: &mut ChaCha12Rng) -> Duration {
-    let seconds = log_normal(length.mean.as_secs_f64(), length.spread, random);
+pub(crate) fn length(length: &DurationDistribution, random: &mut ChaCha12Rng) -> Duration {
+    let seconds = log_normal(length.mean.as_secs_f64(), length.relative_deviation, random);
     Duration::from_secs_f64(seconds.clamp(0.001, 3_600.0))
 }
 
--- a/crates/cassiarock-lab/src/promise.rs
+++ b/crates/cassiarock-lab/src/invariants.rs
@@ -8,7 +8,7 @@
 
 /// Watches a run.
 #[derive(Debug, Default)]
-pub(crate) struct Promise {
+pub(crate) struct InvariantChecker {
     /// How many runs of a task go on.
     running: BTreeMap<(Name, u32), u32>,
     /// Submissions of which something has started.
@@ -16,30 +16,30 @@
     /// Jobs whose last submission was answered as not run, and that nobody has sent since.
     refused: BTreeSet<Name>,
     answered: BTreeMap<(usize, u32), u32>,
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
 }
 
-impl Promise {
-    pub(crate) fn submitted(&mut self, job: &Name) {
+impl InvariantChecker {
+    pub(crate) fn record_submission(&mut self, job: &Name) {
         self.started.remove(job);
         self.refused.remove(job);
     }
 
-    pub(crate) fn started(&mut self, job: &Name, index: u32) {
+    pub(crate) fn record_start(&mut self, job: &Name, index: u32) {
         self.started.insert(job.clone());
         let running = self.running.entry((job.clone(), index)).or_default();
         *running += 1;
         if *running > 1 {
-            self.tell(format!("task {index} of job {job} runs twice at once"));
+            self.report_violation(format!("task {index} of job {job} runs twice at once"));
         }
         if self.refused.contains(job) {
-            self.tell(format!(
+            self.report_violation(format!(
                 "task {index} of job {job} started after \"not run\""
             ));
         }
     }
 
-    pub(crate) fn ended(&mut self, job: &Name, index: u32) {
+    pub(crate) fn record_end(&mut self, job: &Name, index: u32) {
         let key = (job.clone(), index);
         if let Some(running) = self.running.get_mut(&key) {
             *running -= 1;
@@ -50,15 +50,21 @@
     }
 
     /// A caller's submission was answered.
-    pub(crate) fn answered(&mut self, caller: usize, submission: u32, job: &Name, not_run: bool) {
+    pub(crate) fn record_answer(
+        &mut self,
+        caller: usize,
+        submission: u32,
+        job: &Name,
+        not_run: bool,
+    ) {
         let answers = self.answered.entry((caller, submission)).or_default();
         *answers += 1;
         if *answers > 1 {
-            self.tell(format!("job {job} was answered twice"));
+            self.report_violation(format!("job {job} was answered twice"));
         }
         if not_run {
             if self.started.contains(job) {
-                self.tell(format!("job {job} was called \"not run\" and has run"));
+                self.report_violation(format!("job {job} was called \"not run\" and has run"));
             }
             self.refused.insert(job.clone());
         }
@@ -69,9 +75,9 @@
         self.answered.contains_key(&(caller, submission))
     }
 
-    pub(crate) fn tell(&mut self, fault: String) {
-        if self.broken.len() < KEPT {
-            self.broken.push(fault);
+    pub(crate) fn report_violation(&mut self, fault: String) {
+        if self.violations.len() < KEPT {
+            self.violations.push(fault);
         }
     }
 }
--- a/crates/cassiarock-lab/src/lib.rs
+++ b/crates/cassiarock-lab/src/lib.rs
@@ -8,15 +8,15 @@
 mod draw;
 mod error;
 mod event;
-mod figures;
+mod invariants;
 mod measure;
-mod promise;
+mod result;
 mod scenario;
 mod simulation;
 mod upstream;
 
 pub use error::Error;
-pub use figures::{Figures, Kind, Seed};
+pub use result::{KindResult, ScenarioResult, SeedResult};
 pub use scenario::Scenario;
 
 use cassiarock_transient::scheduler::Mechanisms;
@@ -25,7 +25,7 @@
 /// Plays each seed of the scenario with these mechanisms.
 ///
 /// ```
-/// use cassiarock_lab::{Scenario, play};
+/// use cassiarock_lab::{Scenario, simulate};
 /// use cassiarock_transient::scheduler::Mechanisms;
 /// let text = r#"{
 ///     "length": "2s",
@@ -35,17 +35,17 @@
 ///         "cores": { "mean": 6 }, "slack": 1.6, "target": "60ms" }],
 /// }"#;
 /// let scenario = Scenario::parse(text, "small.jsonc").map_err(std::io::Error::other)?;
-/// let figures = play(&scenario, Mechanisms::default());
-/// assert!(figures.broken.is_empty());
+/// let figures = simulate(&scenario, Mechanisms::default());
+/// assert!(figures.violations.is_empty());
 /// assert!(figures.in_time > 0.9);
 /// # std::io::Result::Ok(())
 /// ```
 #[must_use]
-pub fn play(scenario: &Scenario, mechanisms: Mechanisms) -> Figures {
-    let seeds: Vec<Seed> = scenario
+pub fn simulate(scenario: &Scenario, mechanisms: Mechanisms) -> ScenarioResult {
+    let seeds: Vec<SeedResult> = scenario
         .seeds
         .par_iter()
-        .map(|seed| simulation::play(scenario, mechanisms, *seed))
+        .map(|seed| simulation::run_seed(scenario, mechanisms, *seed))
         .collect();
-    Figures::new(seeds)
+    ScenarioResult::new(seeds)
 }
--- a/crates/cassiarock-lab/src/measure.rs
+++ b/crates/cassiarock-lab/src/measure.rs
@@ -1,7 +1,7 @@
 //! What a run is worth to its users: the parts that they weigh.
 
 use crate::Scenario;
-use crate::scenario::{Kind, Weights};
+use crate::scenario::{JobKind, Weights};
 
 /// The width of the windows that are compared, in seconds.
 const WINDOW: usize = 2;
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub(crate) struct Measure<'a> {
     scenario: &'a Scenario,
-    whole: Credit,
+    overall: Credit,
     kinds: Vec<Credit>,
     windows: Vec<Credit>,
     asked: u64,
@@ -61,7 +61,7 @@
         let seconds = scenario.length.as_secs_f64().ceil() as usize;
         Self {
             scenario,
-            whole: Credit::default(),
+            overall: Credit::default(),
             kinds: vec![Credit::default(); scenario.kinds.len()],
             windows: vec![Credit::default(); seconds.div_ceil(WINDOW)],
             asked: 0,
@@ -78,7 +78,7 @@
             Outcome::Late => owed * late_share(&self.scenario.kinds[kind]),
             Outcome::Unserved => 0.0,
         };
-        self.whole.add(owed, earned);
+        self.overall.add(owed, earned);
         self.kinds[kind].add(owed, earned);
         self.windows[second / WINDOW].add(owed, earned);
         self.asked += 1;
@@ -93,25 +93,25 @@
     /// The parts, weighed.
     pub(crate) fn worth(&self) -> f64 {
         let Weights {
-            whole,
+            overall,
             served,
-            windows,
+            worst_windows,
             worst_kind,
-            served_best,
+            unserved_floor,
         } = self.scenario.weights;
         let mut worst: Vec<f64> = self.windows.iter().map(|window| window.share()).collect();
         worst.sort_by(f64::total_cmp);
         worst.truncate(WORST);
         let window = worst.iter().sum::<f64>() / worst.len().max(1) as f64;
         let kinds = self.kinds.iter().map(|kind| kind.share());
-        let nines = self.unserved().max(served_best).log10() / served_best.log10();
-        whole * self.whole.share()
+        let nines = self.unserved().max(unserved_floor).log10() / unserved_floor.log10();
+        overall * self.overall.share()
             + served * nines
-            + windows * window
+            + worst_windows * window
             + worst_kind * kinds.fold(1.0, f64::min)
     }
 }
 
-fn late_share(kind: &Kind) -> f64 {
+fn late_share(kind: &JobKind) -> f64 {
     kind.late_worth / kind.worth.max(f64::MIN_POSITIVE)
 }
--- a/crates/cassiarock-lab/src/figures.rs
+++ b/crates/cassiarock-lab/src/result.rs
@@ -6,7 +6,7 @@
 
 /// What callers of one kind of jobs got. Shares are of those who did not leave by themselves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Kind {
+pub struct KindResult {
     /// The kind.
     pub name: Name,
     /// Callers who did not leave by themselves.
@@ -27,88 +27,100 @@
 
 /// One seed's run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Seed {
+pub struct SeedResult {
     /// The seed.
     pub seed: u64,
     /// By kind.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<KindResult>,
     /// The share answered in time.
     pub in_time: f64,
     /// The share that any scheduler could at most have answered in time.
-    pub bound: f64,
+    #[serde(rename = "bound")]
+    pub in_time_bound: f64,
     /// What it is worth by the users' weights, prices left out.
     pub worth: f64,
     /// The share that got no answer of use.
     pub unserved: f64,
     /// The share answered in time, by second of arrival.
-    pub seconds: Vec<f64>,
+    #[serde(rename = "seconds")]
+    pub in_time_by_second: Vec<f64>,
     /// The share of the upstreams' work that no caller got an answer for.
-    pub thrown: f64,
+    #[serde(rename = "thrown")]
+    pub wasted_work: f64,
     /// Time to a refusal, in ms: median and 99th percentile.
     pub refusal_ms: (f64, f64),
     /// Frames between entries and agents for each task started, heartbeats left out.
-    pub frames: f64,
+    #[serde(rename = "frames")]
+    pub frames_per_task: f64,
     /// Jain's index of the shares answered in time, over kinds.
-    pub fair_kinds: f64,
+    #[serde(rename = "fair_kinds")]
+    pub kind_fairness: f64,
     /// The same over entries.
-    pub fair_entries: f64,
+    #[serde(rename = "fair_entries")]
+    pub entry_fairness: f64,
     /// The most unanswered jobs at one entry.
-    pub queue: usize,
+    #[serde(rename = "queue")]
+    pub max_queue: usize,
     /// Upstreams that tasks have crashed.
     pub crashes: u64,
     /// Promises that were broken.
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
 /// All seeds of a scenario; shares are means.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Figures {
+pub struct ScenarioResult {
     /// The share answered in time.
     pub in_time: f64,
     /// The share that any scheduler could at most have answered in time.
-    pub bound: f64,
+    #[serde(rename = "bound")]
+    pub in_time_bound: f64,
     /// What it is worth by the users' weights, prices left out.
     pub worth: f64,
     /// How far the worth of the seeds is from their mean: its standard deviation.
-    pub scatter: f64,
+    #[serde(rename = "scatter")]
+    pub worth_deviation: f64,
     /// The share that got no answer of use.
     pub unserved: f64,
     /// The share of the upstreams' work that no caller got an answer for.
-    pub thrown: f64,
+    #[serde(rename = "thrown")]
+    pub wasted_work: f64,
     /// Promises that were broken, with their seed.
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
     /// By seed.
-    pub seeds: Vec<Seed>,
+    pub seeds: Vec<SeedResult>,
 }
 
-impl Figures {
-    pub(crate) fn new(seeds: Vec<Seed>) -> Self {
-        let mean = |value: fn(&Seed) -> f64| {
+impl ScenarioResult {
+    pub(crate) fn new(seeds: Vec<SeedResult>) -> Self {
+        let mean = |value: fn(&SeedResult) -> f64| {
             seeds.iter().map(value).sum::<f64>() / seeds.len().max(1) as f64
         };
-        let broken = seeds.iter().flat_map(|seed| {
-            let told = seed.broken.iter();
+        let violations = seeds.iter().flat_map(|seed| {
+            let told = seed.violations.iter();
             told.map(|fault| format!("seed {}: {fault}", seed.seed))
         });
         let worth = mean(|seed| seed.worth);
         let squares = seeds.iter().map(|seed| (seed.worth - worth).powi(2));
-        let scatter = (squares.sum::<f64>() / seeds.len().max(1) as f64).sqrt();
+        let worth_deviation = (squares.sum::<f64>() / seeds.len().max(1) as f64).sqrt();
         Self {
             worth,
-            scatter,
+            worth_deviation,
             unserved: mean(|seed| seed.unserved),
             in_time: mean(|seed| seed.in_time),
-            bound: mean(|seed| seed.bound),
-            thrown: mean(|seed| seed.thrown),
-            broken: broken.collect(),
+            in_time_bound: mean(|seed| seed.in_time_bound),
+            wasted_work: mean(|seed| seed.wasted_work),
+            violations: violations.collect(),
             seeds,
         }
     }
 
     /// The sums over seeds, by kind.
     #[must_use]
-    pub fn kinds(&self) -> Vec<Kind> {
-        let mut sums: Vec<Kind> = Vec::new();
+    pub fn totals_by_kind(&self) -> Vec<KindResult> {
+        let mut sums: Vec<KindResult> = Vec::new();
         for kind in self.seeds.iter().flat_map(|seed| &seed.kinds) {
             match sums.iter_mut().find(|sum| sum.name == kind.name) {
                 Some(sum) => sum.add(kind),
@@ -119,7 +131,7 @@
     }
 }
 
-impl Kind {
+impl KindResult {
     fn add(&mut self, other: &Self) {
         self.asked += other.asked;
         self.in_time += other.in_time;
@@ -132,7 +144,7 @@
 
     /// The share answered in time.
     #[must_use]
-    pub fn share(&self) -> f64 {
+    pub fn in_time_share(&self) -> f64 {
         self.in_time as f64 / self.asked.max(1) as f64
     }
 }
@@ -147,14 +159,14 @@
     sum * sum / (shares.len() as f64 * squares)
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for ScenarioResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
             "{:<20} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>10}",
             "kind", "asked", "in time", "late", "refused", "given up", "failed", "unanswered"
         )?;
-        for kind in self.kinds() {
+        for kind in self.totals_by_kind() {
             let share = |count: u64| count as f64 / kind.asked.max(1) as f64;
             writeln!(
                 f,
@@ -179,23 +191,28 @@
                 seed.worth,
                 seed.unserved,
                 seed.in_time,
-                seed.bound,
-                seed.thrown,
+                seed.in_time_bound,
+                seed.wasted_work,
                 seed.refusal_ms.0,
                 seed.refusal_ms.1,
-                seed.frames,
-                seed.fair_kinds,
-                seed.fair_entries,
-                seed.queue
+                seed.frames_per_task,
+                seed.kind_fairness,
+                seed.entry_fairness,
+                seed.max_queue
             )?;
         }
-        for fault in &self.broken {
+        for fault in &self.violations {
             writeln!(f, "BROKEN {fault}")?;
         }
         write!(
             f,
             "worth {:.3} (scatter {:.3}), not served {:.4}, in time {:.3} of at most {:.3}, work thrown away {:.3}",
-            self.worth, self.scatter, self.unserved, self.in_time, self.bound, self.thrown
+            self.worth,
+            self.worth_deviation,
+            self.unserved,
+            self.in_time,
+            self.in_time_bound,
+            self.wasted_work
         )
     }
 }
--- a/crates/cassiarock-lab/src/scenario.rs
+++ b/crates/cassiarock-lab/src/scenario.rs
@@ -22,15 +22,16 @@
     #[serde(default = "one_seed")]
     pub seeds: Vec<u64>,
     /// One way, between processes of different data centres; 0.1 ms within one.
-    #[serde(default = "Scenario::across")]
+    #[serde(default = "Scenario::cross_data_centre_latency")]
     #[serde_as(as = "Time")]
-    pub across: Duration,
+    #[serde(rename = "across")]
+    pub cross_data_centre_latency: Duration,
     /// The entries.
     pub entries: Vec<Entry>,
     /// The upstreams, each with its agent.
-    pub upstreams: Vec<Group>,
+    pub upstreams: Vec<UpstreamGroup>,
     /// The kinds of jobs.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<JobKind>,
     /// What happens.
     #[serde(default)]
     pub disturbances: Vec<Disturbance>,
@@ -44,25 +45,28 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
     /// What was earned over the whole run.
-    pub whole: f64,
+    #[serde(rename = "whole")]
+    pub overall: f64,
     /// The share served at all, counted in nines.
     pub served: f64,
     /// What was earned in the worst seconds.
-    pub windows: f64,
+    #[serde(rename = "windows")]
+    pub worst_windows: f64,
     /// What was earned by the worst-served kind.
     pub worst_kind: f64,
     /// The share not served that counts as none.
-    pub served_best: f64,
+    #[serde(rename = "served_best")]
+    pub unserved_floor: f64,
 }
 
 impl Default for Weights {
     fn default() -> Self {
         Self {
-            whole: 0.4,
+            overall: 0.4,
             served: 0.35,
-            windows: 0.15,
+            worst_windows: 0.15,
             worst_kind: 0.1,
-            served_best: 0.001,
+            unserved_floor: 0.001,
         }
     }
 }
@@ -81,7 +85,7 @@
 /// Upstreams that are alike.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Group {
+pub struct UpstreamGroup {
     /// Where they are.
     pub data_centre: Name,
     /// How many.
@@ -99,74 +103,84 @@
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct JobKind {
     /// The queue's name.
     pub name: Name,
     /// Jobs a second.
     pub rate: f64,
     /// Tasks of a job.
-    pub tasks: Amount,
+    #[serde(rename = "tasks")]
+    pub task_count: ValueDistribution,
     /// How long a task runs.
-    pub run_time: Length,
+    pub run_time: DurationDistribution,
     /// Cores of a task.
-    pub cores: Amount,
+    pub cores: ValueDistribution,
     /// Memory of a task.
-    #[serde(default = "Kind::memory_mib")]
+    #[serde(default = "JobKind::memory_mib")]
     pub memory_mib: u64,
     /// How far callers' estimates of run times are off, as a share.
     #[serde(default)]
-    pub estimate_off: f64,
+    #[serde(rename = "estimate_off")]
+    pub estimate_error: f64,
     /// An answer is in time up to this many times the job's longest task, ...
-    pub slack: f64,
+    #[serde(rename = "slack")]
+    pub slack_factor: f64,
     /// ... and this much more.
     #[serde_as(as = "Time")]
-    pub target: Duration,
+    #[serde(rename = "target")]
+    pub target_latency: Duration,
     /// 0 goes first.
     #[serde(default)]
     pub priority: u32,
     /// How often a task may fail.
     /// The share of its jobs of which one task crashes each upstream that starts it.
     #[serde(default)]
-    pub crashing: f64,
-    #[serde(default = "Kind::attempts")]
-    pub attempts: u32,
+    #[serde(rename = "crashing")]
+    pub crash_share: f64,
+    #[serde(default = "JobKind::max_attempts")]
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// Callers wait three times as long as an answer is in time, and this much more.
-    #[serde(default = "Kind::patience")]
+    #[serde(default = "JobKind::extra_patience")]
     #[serde_as(as = "Time")]
-    pub patience: Duration,
+    #[serde(rename = "patience")]
+    pub extra_patience: Duration,
     /// What an answer in time is worth.
     #[serde(default = "one")]
     pub worth: f64,
     /// What a later one is worth.
-    #[serde(default = "Kind::late_worth")]
+    #[serde(default = "JobKind::late_worth")]
     pub late_worth: f64,
 }
 
 /// A quantity: its mean, its deviation as a share of the mean, and its bound.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Amount {
+pub struct ValueDistribution {
     /// The mean.
     pub mean: f64,
     /// The standard deviation, in terms of the mean.
     #[serde(default)]
-    pub spread: f64,
+    #[serde(rename = "spread")]
+    pub relative_deviation: f64,
     /// No more than this.
     #[serde(default = "unbounded")]
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 /// A duration: its mean and its deviation as a share of the mean.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Length {
+pub struct DurationDistribution {
     /// The mean.
     #[serde_as(as = "Time")]
     pub mean: Duration,
     /// The standard deviation, in terms of the mean.
     #[serde(default)]
-    pub spread: f64,
+    #[serde(rename = "spread")]
+    pub relative_deviation: f64,
 }
 
 /// What happens.
@@ -176,13 +190,15 @@
 pub struct Disturbance {
     /// When, from the first caller.
     #[serde_as(as = "Time")]
-    pub at: Duration,
+    #[serde(rename = "at")]
+    pub start: Duration,
     /// For how long.
     #[serde(rename = "for")]
     #[serde_as(as = "Time")]
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: DisturbanceKind,
     /// Which upstreams, counted from 0; all of them if none is named.
     #[serde(default)]
     pub upstreams: Vec<usize>,
@@ -191,7 +207,8 @@
     pub factor: f64,
     /// Which kind of jobs; all of them if none is named.
     #[serde(default)]
-    pub kind: Option<Name>,
+    #[serde(rename = "kind")]
+    pub job_kind: Option<Name>,
     /// Which data centre is emptied.
     #[serde(default)]
     pub data_centre: Option<Name>,
@@ -200,7 +217,7 @@
 /// What can happen.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum DisturbanceKind {
     /// More callers come.
     Burst,
     /// Upstreams work slower.
@@ -250,7 +267,7 @@
 
     /// How many upstreams there are.
     #[must_use]
-    pub fn size(&self) -> usize {
+    pub fn upstream_count(&self) -> usize {
         self.upstreams.iter().map(|group| group.count).sum()
     }
 
@@ -270,40 +287,40 @@
             positive("upstreams.cores", group.cores)?;
             positive("upstreams.speed", group.speed)?;
         }
-        self.kinds.iter().try_for_each(Kind::check)?;
+        self.kinds.iter().try_for_each(JobKind::check)?;
         self.weights.check()?;
         self.disturbances
             .iter()
             .try_for_each(|disturbance| disturbance.check(self))
     }
 
-    const fn across() -> Duration {
+    const fn cross_data_centre_latency() -> Duration {
         Duration::from_millis(1)
     }
 }
 
 impl Weights {
     fn check(&self) -> Check {
-        not_negative("weights.whole", self.whole)?;
+        not_negative("weights.whole", self.overall)?;
         not_negative("weights.served", self.served)?;
-        not_negative("weights.windows", self.windows)?;
+        not_negative("weights.windows", self.worst_windows)?;
         not_negative("weights.worst_kind", self.worst_kind)?;
-        positive("weights.served_best", self.served_best)
+        positive("weights.served_best", self.unserved_floor)
     }
 }
 
-impl Kind {
+impl JobKind {
     fn check(&self) -> Check {
         not_negative("kinds.rate", self.rate)?;
-        positive("kinds.tasks.mean", self.tasks.mean)?;
-        not_negative("kinds.tasks.spread", self.tasks.spread)?;
+        positive("kinds.tasks.mean", self.task_count.mean)?;
+        not_negative("kinds.tasks.spread", self.task_count.relative_deviation)?;
         positive("kinds.cores.mean", self.cores.mean)?;
-        not_negative("kinds.cores.spread", self.cores.spread)?;
+        not_negative("kinds.cores.spread", self.cores.relative_deviation)?;
         positive("kinds.run_time.mean", self.run_time.mean.as_secs_f64())?;
-        not_negative("kinds.run_time.spread", self.run_time.spread)?;
-        not_negative("kinds.estimate_off", self.estimate_off)?;
-        not_negative("kinds.crashing", self.crashing)?;
-        positive("kinds.slack", self.slack)?;
+        not_negative("kinds.run_time.spread", self.run_time.relative_deviation)?;
+        not_negative("kinds.estimate_off", self.estimate_error)?;
+        not_negative("kinds.crashing", self.crash_share)?;
+        positive("kinds.slack", self.slack_factor)?;
         not_negative("kinds.worth", self.worth)?;
         not_negative("kinds.late_worth", self.late_worth)
     }
@@ -316,11 +333,11 @@
         64
     }
 
-    const fn attempts() -> u32 {
+    const fn max_attempts() -> u32 {
         3
     }
 
-    const fn patience() -> Duration {
+    const fn extra_patience() -> Duration {
         Duration::from_millis(1_500)
     }
 }
@@ -328,18 +345,23 @@
 impl Disturbance {
     fn check(&self, scenario: &Scenario) -> Check {
         not_negative("disturbances.factor", self.factor)?;
-        if let Some(away) = self.upstreams.iter().find(|at| **at >= scenario.size()) {
+        if let Some(away) = self
+            .upstreams
+            .iter()
+            .find(|at| **at >= scenario.upstream_count())
+        {
             return Err(Problem::new(
                 "disturbances.upstreams",
                 format!("there is no upstream {away}"),
-                format!("give numbers from 0 to {}", scenario.size() - 1),
+                format!("give numbers from 0 to {}", scenario.upstream_count() - 1),
             ));
         }
         let is_group = |name: &Name| {
             let mut groups = scenario.upstreams.iter();
             groups.any(|group| group.data_centre == *name)
         };
-        if self.what == What::Emptied && !self.data_centre.as_ref().is_some_and(is_group) {
+        if self.kind == DisturbanceKind::Emptied && !self.data_centre.as_ref().is_some_and(is_group)
+        {
             return Err(Problem::new(
                 "disturbances.data_centre",
                 "there is no such data centre to empty",
@@ -347,7 +369,7 @@
             ));
         }
         let is_known = |name: &Name| scenario.kinds.iter().any(|kind| kind.name == *name);
-        if let Some(name) = self.kind.as_ref().filter(|name| !is_known(name)) {
+        if let Some(name) = self.job_kind.as_ref().filter(|name| !is_known(name)) {
             return Err(Problem::new(
                 "disturbances.kind",
                 format!("there is no kind {name:?}"),
@@ -358,18 +380,18 @@
     }
 
     /// Whether it goes on at this time.
-    pub(crate) fn is_on(&self, at: Duration) -> bool {
-        (self.at..self.at + self.lasts).contains(&at)
+    pub(crate) fn is_active(&self, at: Duration) -> bool {
+        (self.start..self.start + self.duration).contains(&at)
     }
 
     /// Whether it concerns this upstream.
-    pub(crate) fn strikes(&self, upstream: usize) -> bool {
+    pub(crate) fn affects_upstream(&self, upstream: usize) -> bool {
         self.upstreams.is_empty() || self.upstreams.contains(&upstream)
     }
 
     /// Whether it concerns jobs of this kind.
-    pub(crate) fn concerns(&self, kind: &Name) -> bool {
-        self.kind.as_ref().is_none_or(|name| name == kind)
+    pub(crate) fn affects_kind(&self, kind: &Name) -> bool {
+        self.job_kind.as_ref().is_none_or(|name| name == kind)
     }
 }
 
--- a/crates/cassiarock-lab/src/simulation/agents.rs
+++ b/crates/cassiarock-lab/src/simulation/agents.rs
@@ -2,7 +2,7 @@
 
 use super::{Place, Simulation, new_upstream, room};
 use crate::event::{Event, Frame};
-use crate::scenario::{Group, What};
+use crate::scenario::{DisturbanceKind, UpstreamGroup};
 use crate::upstream::{Run, Upstream, millis};
 use cassiarock_id::{Name, Process};
 use cassiarock_transient::host::{Action, StartResponse, Task, Worker};
@@ -62,7 +62,7 @@
 }
 
 impl Simulation<'_> {
-    pub(super) fn add_agent(&mut self, number: usize, group: &Group) {
+    pub(super) fn add_agent(&mut self, number: usize, group: &UpstreamGroup) {
         let process = Process::new(format!("agent-{number}"), 0);
         self.places
             .insert(process.name.clone(), Place::Agent(number));
@@ -228,7 +228,8 @@
             return;
         }
         let Some(caller) = self.caller_of(&task.job) else {
-            self.promise.tell(format!("job {} is nobody's", task.job));
+            self.invariants
+                .report_violation(format!("job {} is nobody's", task.job));
             return;
         };
         let (end, lasts) = self.fate(number, caller, &task);
@@ -252,7 +253,7 @@
                     self.agenda.add(self.now + CRASH, event);
                 }
                 self.tally.started += 1;
-                self.promise.started(&task.job, task.attempt.index);
+                self.invariants.record_start(&task.job, task.attempt.index);
                 if let Some(lasts) = lasts {
                     let event = Event::End(number, life, run);
                     self.agenda.add(self.now + lasts, event);
@@ -275,12 +276,16 @@
         let mut lasts = self.callers[caller].runs[index].div_f64(self.agents[number].speed);
         let at = self.now.saturating_sub(crate::caller::FIRST);
         let on = self.scenario.disturbances.iter();
-        let on = on.filter(|what| what.is_on(at) && what.strikes(number));
-        for what in on {
-            match what.what {
-                What::Slow => lasts = lasts.mul_f64(what.factor.max(0.01)),
-                What::Hanging => return (Outcome::Done, None),
-                What::Failing if self.random.random_range(0.0..1.0) < what.factor => {
+        let on = on.filter(|disturbance| {
+            disturbance.is_active(at) && disturbance.affects_upstream(number)
+        });
+        for disturbance in on {
+            match disturbance.kind {
+                DisturbanceKind::Slow => lasts = lasts.mul_f64(disturbance.factor.max(0.01)),
+                DisturbanceKind::Hanging => return (Outcome::Done, None),
+                DisturbanceKind::Failing
+                    if self.random.random_range(0.0..1.0) < disturbance.factor =>
+                {
                     return (Outcome::Failed, Some(lasts.mul_f64(FAST)));
                 }
                 _ => {}
@@ -349,7 +354,8 @@
 
     /// A run is over, however it ended.
     fn account(&mut self, run: &Run) {
-        self.promise.ended(&run.task.job, run.task.attempt.index);
+        self.invariants
+            .record_end(&run.task.job, run.task.attempt.index);
         self.tally.work += self.work(run);
     }
 
--- a/crates/cassiarock-lab/src/simulation/callers.rs
+++ b/crates/cassiarock-lab/src/simulation/callers.rs
@@ -34,7 +34,7 @@
         let (job, class) = (caller.job.clone(), caller.class.clone());
         let submission = self.submissions.len() as u64 + 1;
         self.submissions.insert(submission, (number, nth));
-        self.promise.submitted(&job.id);
+        self.invariants.record_submission(&job.id);
         self.agenda.add(until, Event::Leave(number, nth));
         let scheduler = &mut self.entries[entry].scheduler;
         let actions = scheduler.submit(submission, job, class, left, self.now);
@@ -43,7 +43,7 @@
     }
 
     pub(super) fn leave(&mut self, number: usize, nth: u32) {
-        if self.promise.is_answered(number, nth) || self.tally.is_settled(number) {
+        if self.invariants.is_answered(number, nth) || self.tally.is_settled(number) {
             return;
         }
         let entry = self.callers[number].entry;
@@ -61,13 +61,13 @@
 
     pub(super) fn answer(&mut self, submission: u64, answer: Answer) {
         let Some((number, nth)) = self.submissions.get(&submission).copied() else {
-            self.promise
-                .tell(format!("answer to no submission {submission}"));
+            self.invariants
+                .report_violation(format!("answer to no submission {submission}"));
             return;
         };
         let not_run = matches!(answer, Answer::Refused { .. });
         let job = self.callers[number].job.id.clone();
-        self.promise.answered(number, nth, &job, not_run);
+        self.invariants.record_answer(number, nth, &job, not_run);
         self.tally
             .answered(number, &self.callers[number], answer, self.now);
     }
@@ -80,7 +80,7 @@
             .copied()
             .filter(|(number, nth)| {
                 self.callers[*number].entry == entry
-                    && !self.promise.is_answered(*number, *nth)
+                    && !self.invariants.is_answered(*number, *nth)
                     && !self.tally.is_settled(*number)
             })
             .collect();
--- a/crates/cassiarock-lab/src/simulation/emptying.rs
+++ b/crates/cassiarock-lab/src/simulation/emptying.rs
@@ -2,7 +2,7 @@
 
 use super::Simulation;
 use crate::caller::FIRST;
-use crate::scenario::What;
+use crate::scenario::DisturbanceKind;
 use cassiarock_transient::evacuation::State;
 
 impl Simulation<'_> {
@@ -10,8 +10,10 @@
     pub(super) fn evacuate(&mut self) {
         let at = self.now - FIRST;
         let on = self.scenario.disturbances.iter();
-        let on = on.filter(|what| what.what == What::Emptied && what.is_on(at));
-        let emptied = on.filter_map(|what| what.data_centre.clone());
+        let on = on.filter(|disturbance| {
+            disturbance.kind == DisturbanceKind::Emptied && disturbance.is_active(at)
+        });
+        let emptied = on.filter_map(|disturbance| disturbance.data_centre.clone());
         self.evacuations = State::new(self.evacuations.next_offset() + 1, emptied);
         for entry in &mut self.entries {
             entry.scheduler.set_evacuations(self.evacuations.clone());
@@ -29,7 +31,7 @@
         let agent = &self.agents[number];
         if self.evacuations.contains(&agent.data_centre) {
             let fault = format!("{} ordered a start while it is emptied", agent.process.name);
-            self.promise.tell(fault);
+            self.invariants.report_violation(fault);
         }
     }
 }
--- a/crates/cassiarock-lab/src/simulation/mod.rs
+++ b/crates/cassiarock-lab/src/simulation/mod.rs
@@ -8,9 +8,9 @@
 
 use crate::caller::{Caller, FIRST, callers};
 use crate::event::{Agenda, Event, Frame};
-use crate::figures::Seed;
-use crate::promise::Promise;
-use crate::scenario::{Disturbance, Scenario, What};
+use crate::invariants::InvariantChecker;
+use crate::result::SeedResult;
+use crate::scenario::{Disturbance, DisturbanceKind, Scenario};
 use crate::upstream::Upstream;
 use agents::Agent;
 use cassiarock_id::{Name, Process};
@@ -51,13 +51,13 @@
     submissions: HashMap<u64, (usize, u32)>,
     /// What operators order of data centres, as all processes know it.
     evacuations: evacuation::State,
-    promise: Promise,
+    invariants: InvariantChecker,
     tally: Tally,
     random: ChaCha12Rng,
 }
 
 /// Plays one seed.
-pub(crate) fn play(scenario: &Scenario, mechanisms: Mechanisms, seed: u64) -> Seed {
+pub(crate) fn run_seed(scenario: &Scenario, mechanisms: Mechanisms, seed: u64) -> SeedResult {
     let mut random = ChaCha12Rng::seed_from_u64(seed);
     let callers = callers(scenario, &mut random);
     let bound = crate::bound::bound(scenario, &callers);
@@ -73,7 +73,7 @@
         callers,
         submissions: HashMap::new(),
         evacuations: evacuation::State::default(),
-        promise: Promise::default(),
+        invariants: InvariantChecker::default(),
         tally: Tally::default(),
         random,
     };
@@ -83,14 +83,14 @@
     let Simulation {
         tally,
         callers,
-        promise,
+        invariants,
         ..
     } = simulation;
-    Seed {
+    SeedResult {
         seed,
-        bound,
-        broken: promise.broken,
-        ..tally.figures(scenario, &callers)
+        in_time_bound: bound,
+        violations: invariants.violations,
+        ..tally.result(scenario, &callers)
     }
 }
 
@@ -112,10 +112,13 @@
         for (number, caller) in self.callers.iter().enumerate() {
             self.agenda.add(caller.at, Event::Come(number, 1));
         }
-        for (number, what) in self.scenario.disturbances.iter().enumerate() {
-            self.agenda.add(FIRST + what.at, Event::Begin(number));
+        for (number, disturbance) in self.scenario.disturbances.iter().enumerate() {
             self.agenda
-                .add(FIRST + what.at + what.lasts, Event::Over(number));
+                .add(FIRST + disturbance.start, Event::Begin(number));
+            self.agenda.add(
+                FIRST + disturbance.start + disturbance.duration,
+                Event::Over(number),
+            );
         }
     }
 
@@ -158,7 +161,11 @@
             self.tally.frames += 1;
         }
         let near = self.data_centre(&from) == self.data_centre(&to);
-        let delay = if near { NEAR } else { self.scenario.across };
+        let delay = if near {
+            NEAR
+        } else {
+            self.scenario.cross_data_centre_latency
+        };
         let frame = Frame { from, to, message };
         self.agenda
             .add(self.now + delay, Event::Frame(Box::new(frame)));
@@ -180,48 +187,57 @@
     }
 
     fn begin(&mut self, number: usize) {
-        let what = self.scenario.disturbances[number].clone();
-        match what.what {
-            What::Lost => self.lose_agents(&what),
-            What::AllLost => {
-                self.lose_agents(&what);
+        let disturbance = self.scenario.disturbances[number].clone();
+        match disturbance.kind {
+            DisturbanceKind::Lost => self.lose_agents(&disturbance),
+            DisturbanceKind::AllLost => {
+                self.lose_agents(&disturbance);
                 for entry in 0..self.entries.len() {
                     self.lose_entry(entry);
                 }
             }
-            What::Emptied => self.evacuate(),
-            What::Burst | What::Slow | What::Failing | What::Hanging | What::Leaving => {}
+            DisturbanceKind::Emptied => self.evacuate(),
+            DisturbanceKind::Burst
+            | DisturbanceKind::Slow
+            | DisturbanceKind::Failing
+            | DisturbanceKind::Hanging
+            | DisturbanceKind::Leaving => {}
         }
     }
 
     fn over(&mut self, number: usize) {
-        let what = self.scenario.disturbances[number].clone();
-        if what.what == What::Emptied {
+        let disturbance = self.scenario.disturbances[number].clone();
+        if disturbance.kind == DisturbanceKind::Emptied {
             self.evacuate();
         }
-        if !matches!(what.what, What::Lost | What::AllLost) {
+        if !matches!(
+            disturbance.kind,
+            DisturbanceKind::Lost | DisturbanceKind::AllLost
+        ) {
             return;
         }
-        if what.what == What::AllLost {
+        if disturbance.kind == DisturbanceKind::AllLost {
             for entry in 0..self.entries.len() {
                 self.start_entry(entry);
             }
         }
-        for agent in self.struck(&what) {
+        for agent in self.struck(&disturbance) {
             self.start_agent(agent);
         }
     }
 
-    fn lose_agents(&mut self, what: &Disturbance) {
-        for agent in self.struck(what) {
+    fn lose_agents(&mut self, disturbance: &Disturbance) {
+        for agent in self.struck(disturbance) {
             self.lose_agent(agent);
         }
     }
 
-    fn struck(&self, what: &Disturbance) -> Vec<usize> {
-        let all = what.what == What::AllLost;
+    fn struck(&self, disturbance: &Disturbance) -> Vec<usize> {
+        let all = disturbance.kind == DisturbanceKind::AllLost;
         let agents = 0..self.agents.len();
-        agents.filter(|agent| all || what.strikes(*agent)).collect()
+        agents
+            .filter(|agent| all || disturbance.affects_upstream(*agent))
+            .collect()
     }
 
     /// Nothing is left over once all callers are gone.
@@ -230,7 +246,7 @@
             let jobs = entry.scheduler.job_count();
             if jobs > 0 {
                 let fault = format!("{jobs} jobs are left at {}", entry.process.name);
-                self.promise.tell(fault);
+                self.invariants.report_violation(fault);
             }
         }
         for agent in &self.agents {
@@ -238,7 +254,7 @@
             if held + running > 0 {
                 let name = &agent.process.name;
                 let fault = format!("{name} has {held} tasks left, its upstream {running}");
-                self.promise.tell(fault);
+                self.invariants.report_violation(fault);
             }
         }
     }
--- a/crates/cassiarock-lab/src/simulation/tally.rs
+++ b/crates/cassiarock-lab/src/simulation/tally.rs
@@ -1,8 +1,8 @@
 //! What callers got.
 
 use crate::caller::{Caller, FIRST};
-use crate::figures::{Kind, Seed, jain};
 use crate::measure::{Measure, Outcome};
+use crate::result::{KindResult, SeedResult, jain};
 use crate::scenario::Scenario;
 use cassiarock_id::Name;
 use cassiarock_transient::scheduler::Answer;
@@ -70,13 +70,13 @@
         self.fates.entry(number).or_insert((fate, now));
     }
 
-    pub(super) fn figures(&self, scenario: &Scenario, callers: &[Caller]) -> Seed {
-        let mut kinds: Vec<Kind> = scenario
+    pub(super) fn result(&self, scenario: &Scenario, callers: &[Caller]) -> SeedResult {
+        let mut kinds: Vec<KindResult> = scenario
             .kinds
             .iter()
-            .map(|kind| Kind {
+            .map(|kind| KindResult {
                 name: kind.name.clone(),
-                ..Kind::default()
+                ..KindResult::default()
             })
             .collect();
         let mut seconds = vec![(0_u64, 0_u64); scenario.length.as_secs_f64().ceil() as usize];
@@ -109,35 +109,35 @@
         let shares: Vec<f64> = kinds
             .iter()
             .filter(|kind| kind.asked > 0)
-            .map(Kind::share)
+            .map(KindResult::in_time_share)
             .collect();
         let quantile = |q: f64| {
             refusals
                 .as_ref()
                 .map_or(0.0, |all| all.value_at_quantile(q) as f64)
         };
-        Seed {
+        SeedResult {
             in_time: share(in_time, asked),
-            seconds: seconds
+            in_time_by_second: seconds
                 .iter()
                 .map(|(asked, got)| share(*got, *asked))
                 .collect(),
-            thrown: 1.0 - self.useful / self.work.max(f64::MIN_POSITIVE),
+            wasted_work: 1.0 - self.useful / self.work.max(f64::MIN_POSITIVE),
             refusal_ms: (quantile(0.5), quantile(0.99)),
-            frames: self.frames as f64 / self.started.max(1) as f64,
-            fair_kinds: jain(&shares),
-            fair_entries: jain(
+            frames_per_task: self.frames as f64 / self.started.max(1) as f64,
+            kind_fairness: jain(&shares),
+            entry_fairness: jain(
                 &entries
                     .iter()
                     .map(|(asked, got)| share(*got, *asked))
                     .collect::<Vec<_>>(),
             ),
-            queue: self.queue,
+            max_queue: self.queue,
             crashes: self.crashes,
             worth: measure.worth(),
             unserved: measure.unserved(),
             kinds,
-            ..Seed::default()
+            ..SeedResult::default()
         }
     }
 
@@ -169,7 +169,7 @@
     means.collect()
 }
 
-fn count(kind: &mut Kind, fate: Fate) {
+fn count(kind: &mut KindResult, fate: Fate) {
     kind.asked += 1;
     *match fate {
         Fate::InTime => &mut kind.in_time,
--- a/crates/cassiarock-lab/tests/play.rs
+++ b/crates/cassiarock-lab/tests/play.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use cassiarock_lab::{Scenario, play};
+use cassiarock_lab::{Scenario, simulate};
 use cassiarock_transient::scheduler::Mechanisms;
 use std::path::Path;
 use yare::parameterized;
@@ -27,10 +27,14 @@
     far_too_much = { "twice-and-a-half.jsonc", 0.48 },
 )]
 fn no_promise_is_broken_and_most_callers_are_answered_in_time(name: &str, least: f64) {
-    let figures = play(&scenario(name), Mechanisms::default());
-    assert!(figures.broken.is_empty(), "{:?}", figures.broken);
+    let figures = simulate(&scenario(name), Mechanisms::default());
+    assert!(figures.violations.is_empty(), "{:?}", figures.violations);
     assert!(figures.in_time >= least, "{}", figures.in_time);
-    assert!(figures.in_time <= figures.bound, "{}", figures.bound);
+    assert!(
+        figures.in_time <= figures.in_time_bound,
+        "{}",
+        figures.in_time_bound
+    );
 }
 
 #[test]
@@ -41,7 +45,7 @@
         let figures = pool
             .build()
             .unwrap()
-            .install(|| play(&scenario, Mechanisms::default()));
+            .install(|| simulate(&scenario, Mechanisms::default()));
         serde_json::to_string(&figures).unwrap()
     };
     assert_eq!(on(1), on(4));
@@ -53,7 +57,7 @@
 fn the_same_seed_plays_the_same_each_time() {
     for file in ["shifted.jsonc", "all-lost.jsonc", "emptied.jsonc"] {
         let scenario = scenario(file);
-        let once = || serde_json::to_string(&play(&scenario, Mechanisms::default())).unwrap();
+        let once = || serde_json::to_string(&simulate(&scenario, Mechanisms::default())).unwrap();
         assert_eq!(once(), once(), "{file}");
     }
 }
@@ -64,9 +68,9 @@
 #[test]
 fn tasks_that_crash_upstreams_cost_others_less_when_suspects_are_kept_apart() {
     let scenario = scenario("crashing.jsonc");
-    let with = play(&scenario, Mechanisms::default());
-    let without = play(&scenario, Mechanisms::without("suspicion").unwrap());
-    let crashes = |figures: &cassiarock_lab::Figures| -> u64 {
+    let with = simulate(&scenario, Mechanisms::default());
+    let without = simulate(&scenario, Mechanisms::without("suspicion").unwrap());
+    let crashes = |figures: &cassiarock_lab::ScenarioResult| -> u64 {
         figures.seeds.iter().map(|seed| seed.crashes).sum()
     };
     assert!(crashes(&with) > 0 && crashes(&with) < crashes(&without));
@@ -76,10 +80,14 @@
         with.worth,
         without.worth
     );
-    for (kind, other) in with.kinds().iter().zip(without.kinds()) {
-        assert!(kind.share() >= other.share(), "{}", kind.name);
+    for (kind, other) in with.totals_by_kind().iter().zip(without.totals_by_kind()) {
+        assert!(
+            kind.in_time_share() >= other.in_time_share(),
+            "{}",
+            kind.name
+        );
     }
-    assert_eq!(with.broken, Vec::<String>::new());
+    assert_eq!(with.violations, Vec::<String>::new());
 }
 
 // A burst of two and a half times the room lasted for ten seconds. The kind that the operators
@@ -89,8 +97,11 @@
 fn far_beyond_the_room_no_kind_falls_far_behind_the_best_served() {
     let scenario = scenario("twice-and-a-half.jsonc");
     let worst = |mechanisms| {
-        let kinds = play(&scenario, mechanisms).kinds();
-        let shares: Vec<f64> = kinds.iter().map(cassiarock_lab::Kind::share).collect();
+        let kinds = simulate(&scenario, mechanisms).totals_by_kind();
+        let shares: Vec<f64> = kinds
+            .iter()
+            .map(cassiarock_lab::KindResult::in_time_share)
+            .collect();
         let best = shares.iter().copied().fold(0.0, f64::max);
         shares.iter().copied().fold(1.0, f64::min) / best
     };
@@ -108,11 +119,14 @@
 fn in_bursts_of_a_large_fleet_the_most_urgent_kind_is_not_the_worst_served() {
     let mut scenario = scenario("large.jsonc");
     scenario.seeds.truncate(1);
-    let with = play(&scenario, Mechanisms::default());
-    let without = play(&scenario, Mechanisms::without("reserve").unwrap());
-    let shares = |figures: &cassiarock_lab::Figures| -> Vec<f64> {
-        let kinds = figures.kinds();
-        kinds.iter().map(cassiarock_lab::Kind::share).collect()
+    let with = simulate(&scenario, Mechanisms::default());
+    let without = simulate(&scenario, Mechanisms::without("reserve").unwrap());
+    let shares = |figures: &cassiarock_lab::ScenarioResult| -> Vec<f64> {
+        let kinds = figures.totals_by_kind();
+        kinds
+            .iter()
+            .map(cassiarock_lab::KindResult::in_time_share)
+            .collect()
     };
     let (kept, lost) = (shares(&with), shares(&without));
     assert!(kept[0] > kept[1], "{kept:?}");
@@ -129,8 +143,8 @@
 fn after_a_loss_of_all_machines_those_who_can_be_on_time_go_first() {
     let mut scenario = scenario("all-lost.jsonc");
     scenario.seeds = (1..=6).collect();
-    let with = play(&scenario, Mechanisms::default()).in_time;
-    let without = play(&scenario, Mechanisms::without("waited_last").unwrap()).in_time;
+    let with = simulate(&scenario, Mechanisms::default()).in_time;
+    let without = simulate(&scenario, Mechanisms::without("waited_last").unwrap()).in_time;
     assert!(with > without, "{with} {without}");
 }
 
--- a/crates/cassiarock-operator/src/run/simulate.rs
+++ b/crates/cassiarock-operator/src/run/simulate.rs
@@ -1,7 +1,7 @@
 //! Playing scenarios.
 
 use crate::{Error, Exit, Report, Simulate};
-use cassiarock_lab::{Figures, Scenario, play};
+use cassiarock_lab::{Scenario, ScenarioResult};
 use cassiarock_transient::scheduler::Mechanisms;
 use serde::Serialize;
 
@@ -11,7 +11,7 @@
     scenario: String,
     /// The mechanism that was left out, if one was.
     without: Option<&'static str>,
-    figures: Figures,
+    figures: ScenarioResult,
 }
 
 /// Plays the scenarios. All are read first, so that nothing is played if one is wrong.
@@ -26,11 +26,11 @@
             played.push(Played {
                 scenario: file.clone(),
                 without: *without,
-                figures: play(scenario, *mechanisms),
+                figures: cassiarock_lab::simulate(scenario, *mechanisms),
             });
         }
     }
-    let is_broken = played.iter().any(|one| !one.figures.broken.is_empty());
+    let is_broken = played.iter().any(|one| !one.figures.violations.is_empty());
     let text = if simulate.ablate {
         table(&played)
     } else {
@@ -79,21 +79,21 @@
         "worst kind"
     );
     for one in played {
-        let kinds = one.figures.kinds();
-        let worst = kinds.iter().map(cassiarock_lab::Kind::share);
+        let kinds = one.figures.totals_by_kind();
+        let worst = kinds.iter().map(cassiarock_lab::KindResult::in_time_share);
         text += &format!(
             "{:<36} {:<14} {:>7.3} {:>8.3} {:>10.4} {:>8.3} {:>8.3} {:>8.3} {:>11.3}\n",
             one.scenario,
             one.without.unwrap_or("-"),
             one.figures.worth,
-            one.figures.scatter,
+            one.figures.worth_deviation,
             one.figures.unserved,
             one.figures.in_time,
-            one.figures.bound,
-            one.figures.thrown,
+            one.figures.in_time_bound,
+            one.figures.wasted_work,
             worst.fold(1.0, f64::min)
         );
-        for fault in &one.figures.broken {
+        for fault in &one.figures.violations {
             text += &format!("BROKEN {fault}\n");
         }
     }
