--- a/crates/cassiarock-lab/src/caller.rs
+++ b/crates/cassiarock-lab/src/caller.rs
@@ -1,6 +1,6 @@
 //! Callers: who comes when, with which job, and for how long they wait.
 
-use crate::draw;
+use crate::sample;
 use crate::scenario::{DisturbanceKind, JobKind, Scenario};
 use cassiarock_transient::{Job, JobClass, Resources, Stage};
 use rand::RngExt;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 /// When the first caller comes: links and reports are there by then.
-pub(crate) const FIRST: Duration = Duration::from_secs(1);
+pub(crate) const FIRST_ARRIVAL: Duration = Duration::from_secs(1);
 
 /// Callers give up at three times their objective, and their patience later.
-const LATE: u32 = 3;
+const PATIENCE_FACTOR: u32 = 3;
 
 /// One caller with one job.
 #[derive(Clone, Debug)]
@@ -29,9 +29,9 @@
     /// How long the caller waits.
     pub(crate) patience: Duration,
     /// Leaves that early, without an answer.
-    pub(crate) leaves: Option<Duration>,
+    pub(crate) leaves_after: Option<Duration>,
     /// The task that crashes what starts it.
-    pub(crate) crashing: Option<u32>,
+    pub(crate) crashing_task: Option<u32>,
 }
 
 impl Caller {
@@ -49,10 +49,10 @@
         let class = Arc::new(class(kind));
         let mut at = 0.0;
         loop {
-            let rate = kind.rate * burst(scenario, kind, at);
+            let rate = kind.rate * burst_factor(scenario, kind, at);
             // A pause drawn at a low rate may skip the onset of a burst: it is cut there.
-            let next = at + draw::pause(rate, random);
-            let step = at + RATE_STEP;
+            let next = at + sample::interval(rate, random);
+            let step = at + RATE_STEP_SECONDS;
             if next > step {
                 at = step;
             } else {
@@ -64,7 +64,7 @@
             }
         }
     }
-    callers.retain(|caller| caller.at < FIRST + scenario.length);
+    callers.retain(|caller| caller.at < FIRST_ARRIVAL + scenario.length);
     callers.sort_by_key(|caller| caller.at);
     for (number, caller) in callers.iter_mut().enumerate() {
         caller.job.id = format!("{number:016x}").into();
@@ -75,9 +75,9 @@
 
 /// The rate of arrivals is looked at anew after this many seconds. Exponential pauses have no
 /// memory, so that cutting them changes nothing but the rate.
-const RATE_STEP: f64 = 0.1;
+const RATE_STEP_SECONDS: f64 = 0.1;
 
-fn burst(scenario: &Scenario, kind: &JobKind, at: f64) -> f64 {
+fn burst_factor(scenario: &Scenario, kind: &JobKind, at: f64) -> f64 {
     let at = Duration::from_secs_f64(at);
     let bursts = scenario.disturbances.iter();
     let bursts = bursts.filter(|disturbance| {
@@ -107,11 +107,11 @@
     random: &mut ChaCha12Rng,
 ) -> Caller {
     let kind = &scenario.kinds[number];
-    let tasks = draw::amount(&kind.task_count, random).round().max(1.0) as u32;
-    let cores = draw::amount(&kind.cores, random).max(0.001);
-    let typical = draw::length(&kind.run_time, random);
+    let tasks = sample::amount(&kind.task_count, random).round().max(1.0) as u32;
+    let cores = sample::amount(&kind.cores, random).max(0.001);
+    let typical = sample::length(&kind.run_time, random);
     let runs: Vec<Duration> = (0..tasks)
-        .map(|_| typical.mul_f64(draw::off(UNEVEN, random)))
+        .map(|_| typical.mul_f64(sample::error_factor(RUN_TIME_VARIATION, random)))
         .collect();
     let longest = runs.iter().max().copied().unwrap_or_default();
     let objective = longest.mul_f64(kind.slack_factor) + kind.target_latency;
@@ -121,12 +121,13 @@
             && disturbance.is_active(offset)
             && disturbance.affects_kind(&kind.name)
     });
-    let leaves = leaving.filter(|disturbance| random.random_range(0.0..1.0) < disturbance.factor);
-    let leaves = leaves.map(|_| objective.mul_f64(random.random_range(0.0..1.0)));
+    let leaves_after =
+        leaving.filter(|disturbance| random.random_range(0.0..1.0) < disturbance.factor);
+    let leaves_after = leaves_after.map(|_| objective.mul_f64(random.random_range(0.0..1.0)));
     let crashes = kind.crash_share > 0.0 && random.random_range(0.0..1.0) < kind.crash_share;
-    let crashing = crashes.then(|| random.random_range(0..tasks));
+    let crashing_task = crashes.then(|| random.random_range(0..tasks));
     Caller {
-        at: FIRST + offset,
+        at: FIRST_ARRIVAL + offset,
         kind: number,
         entry: entry(scenario, random),
         job: Job {
@@ -136,21 +137,21 @@
             stages: vec![Stage {
                 task_count: tasks,
                 demand: Resources::new((cores * 1000.0) as u64, kind.memory_mib, 0),
-                estimate: typical.mul_f64(draw::off(kind.estimate_error, random)),
+                estimate: typical.mul_f64(sample::error_factor(kind.estimate_error, random)),
                 ..Stage::default()
             }],
         },
         class: class.clone(),
         runs,
         objective,
-        patience: objective * LATE + kind.extra_patience,
-        leaves,
-        crashing,
+        patience: objective * PATIENCE_FACTOR + kind.extra_patience,
+        leaves_after,
+        crashing_task,
     }
 }
 
 /// How far a job's tasks differ in their run times.
-const UNEVEN: f64 = 0.15;
+const RUN_TIME_VARIATION: f64 = 0.15;
 
 fn entry(scenario: &Scenario, random: &mut ChaCha12Rng) -> usize {
     let all: f64 = scenario.entries.iter().map(|entry| entry.share).sum();
--- a/crates/cassiarock-lab/src/event.rs
+++ b/crates/cassiarock-lab/src/event.rs
@@ -11,31 +11,31 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     /// A caller comes, for the n-th time.
-    Come(usize, u32),
+    CallerArrives(usize, u32),
     /// A caller leaves that came for the n-th time.
-    Leave(usize, u32),
+    CallerLeaves(usize, u32),
     /// A message reaches a process.
     Frame(Box<Frame>),
     /// An entry does what is due.
-    WakeEntry(usize, u64),
+    PollEntry(usize, u64),
     /// An agent does what is due.
-    WakeAgent(usize, u64),
-    /// An agent polls its upstream, in this life, and again later if it is a regular poll.
-    Poll(usize, u64, bool),
-    /// An order reaches the upstream in this life.
-    Start(usize, u64, Task),
-    /// A stop reaches the upstream in this life.
-    Stop(usize, u64, Task),
-    /// A run on the upstream ends by itself, in this life.
-    End(usize, u64, u64),
-    /// A run crashes the upstream, in this life of its agent.
-    Crash(usize, u64, u64),
-    /// The upstream is back, in this life of its agent.
-    Return(usize, u64),
+    PollAgent(usize, u64),
+    /// An agent polls its upstream, in this incarnation, and again later if it is a regular poll.
+    PollUpstream(usize, u64, bool),
+    /// An order reaches the upstream in this incarnation.
+    StartTask(usize, u64, Task),
+    /// A stop reaches the upstream in this incarnation.
+    StopTask(usize, u64, Task),
+    /// A run on the upstream ends by itself, in this incarnation.
+    RunEnds(usize, u64, u64),
+    /// A run crashes the upstream, in this incarnation of its agent.
+    UpstreamCrashes(usize, u64, u64),
+    /// The upstream is back, in this incarnation of its agent.
+    UpstreamRestarts(usize, u64),
     /// A disturbance begins.
-    Begin(usize),
+    DisturbanceBegins(usize),
     /// A disturbance is over.
-    Over(usize),
+    DisturbanceEnds(usize),
 }
 
 /// A message on its way.
@@ -48,52 +48,56 @@
 
 /// Events by time; those of one time in the order in which they were added.
 #[derive(Debug, Default)]
-pub(crate) struct Agenda {
-    heap: BinaryHeap<Reverse<Entry>>,
+pub(crate) struct EventQueue {
+    heap: BinaryHeap<Reverse<ScheduledEvent>>,
     added: u64,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct ScheduledEvent {
     at: Duration,
-    number: u64,
+    sequence: u64,
     event: Event,
 }
 
-impl Agenda {
+impl EventQueue {
     pub(crate) fn add(&mut self, at: Duration, event: Event) {
         self.added += 1;
-        let number = self.added;
-        self.heap.push(Reverse(Entry { at, number, event }));
+        let sequence = self.added;
+        self.heap.push(Reverse(ScheduledEvent {
+            at,
+            sequence,
+            event,
+        }));
     }
 
     pub(crate) fn next(&mut self) -> Option<(Duration, Event)> {
-        let Reverse(entry) = self.heap.pop()?;
-        Some((entry.at, entry.event))
+        let Reverse(scheduled) = self.heap.pop()?;
+        Some((scheduled.at, scheduled.event))
     }
 }
 
-impl Entry {
+impl ScheduledEvent {
     const fn key(&self) -> (Duration, u64) {
-        (self.at, self.number)
+        (self.at, self.sequence)
     }
 }
 
-impl PartialEq for Entry {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
 
-impl Eq for Entry {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         self.key().cmp(&other.key())
     }
--- a/crates/cassiarock-lab/src/invariants.rs
+++ b/crates/cassiarock-lab/src/invariants.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Faults that are kept; the first ones tell enough.
-const KEPT: usize = 20;
+const MAX_VIOLATIONS: usize = 20;
 
 /// Watches a run.
 #[derive(Debug, Default)]
@@ -75,9 +75,9 @@
         self.answered.contains_key(&(caller, submission))
     }
 
-    pub(crate) fn report_violation(&mut self, fault: String) {
-        if self.violations.len() < KEPT {
-            self.violations.push(fault);
+    pub(crate) fn report_violation(&mut self, violation: String) {
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(violation);
         }
     }
 }
--- a/crates/cassiarock-lab/src/lib.rs
+++ b/crates/cassiarock-lab/src/lib.rs
@@ -5,13 +5,13 @@
 
 mod bound;
 mod caller;
-mod draw;
 mod error;
 mod event;
 mod invariants;
-mod measure;
 mod result;
+mod sample;
 mod scenario;
+mod score;
 mod simulation;
 mod upstream;
 
--- a/crates/cassiarock-lab/src/draw.rs
+++ b/crates/cassiarock-lab/src/sample.rs
@@ -11,7 +11,7 @@
     let variance = (1.0 + spread * spread).ln();
     let centre = mean.ln() - variance / 2.0;
     // Mean and spread have been checked to be finite; without spread it is the mean.
-    LogNormal::new(centre, variance.sqrt()).map_or(mean, |curve| curve.sample(random))
+    LogNormal::new(centre, variance.sqrt()).map_or(mean, |distribution| distribution.sample(random))
 }
 
 pub(crate) fn amount(amount: &ValueDistribution, random: &mut ChaCha12Rng) -> f64 {
@@ -24,12 +24,12 @@
 }
 
 /// The pause until the next of events that come at this rate, in seconds.
-pub(crate) fn pause(rate: f64, random: &mut ChaCha12Rng) -> f64 {
+pub(crate) fn interval(rate: f64, random: &mut ChaCha12Rng) -> f64 {
     // A rate of nothing brings nothing.
-    Exp::new(rate).map_or(f64::INFINITY, |curve| curve.sample(random))
+    Exp::new(rate).map_or(f64::INFINITY, |distribution| distribution.sample(random))
 }
 
 /// A factor that is off 1 by up to this share, either way.
-pub(crate) fn off(share: f64, random: &mut ChaCha12Rng) -> f64 {
+pub(crate) fn error_factor(share: f64, random: &mut ChaCha12Rng) -> f64 {
     (1.0 + random.random_range(-1.0..1.0) * share).max(0.05)
 }
--- a/crates/cassiarock-lab/src/measure.rs
+++ b/crates/cassiarock-lab/src/score.rs
@@ -4,25 +4,25 @@
 use crate::scenario::{JobKind, Weights};
 
 /// The width of the windows that are compared, in seconds.
-const WINDOW: usize = 2;
+const WINDOW_SECONDS: usize = 2;
 
 /// How many of the worst windows count.
-const WORST: usize = 2;
+const WORST_WINDOWS: usize = 2;
 
 /// The share of a job's worth that does not grow with its work.
-const BASE: f64 = 0.3;
+const FIXED_SHARE: f64 = 0.3;
 
 /// A job is worth at most this many times the mean of its kind.
-const MOST: f64 = 4.0;
+const MAX_SIZE: f64 = 4.0;
 
 /// What was earned of what was owed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Credit {
+struct Earnings {
     earned: f64,
     owed: f64,
 }
 
-impl Credit {
+impl Earnings {
     const fn add(&mut self, owed: f64, earned: f64) {
         self.owed += owed;
         self.earned += earned;
@@ -47,23 +47,23 @@
 
 /// What jobs earned, by all that users weigh.
 #[derive(Debug)]
-pub(crate) struct Measure<'a> {
+pub(crate) struct Scorer<'a> {
     scenario: &'a Scenario,
-    overall: Credit,
-    kinds: Vec<Credit>,
-    windows: Vec<Credit>,
+    overall: Earnings,
+    kinds: Vec<Earnings>,
+    windows: Vec<Earnings>,
     asked: u64,
     unserved: u64,
 }
 
-impl<'a> Measure<'a> {
+impl<'a> Scorer<'a> {
     pub(crate) fn new(scenario: &'a Scenario) -> Self {
         let seconds = scenario.length.as_secs_f64().ceil() as usize;
         Self {
             scenario,
-            overall: Credit::default(),
-            kinds: vec![Credit::default(); scenario.kinds.len()],
-            windows: vec![Credit::default(); seconds.div_ceil(WINDOW)],
+            overall: Earnings::default(),
+            kinds: vec![Earnings::default(); scenario.kinds.len()],
+            windows: vec![Earnings::default(); seconds.div_ceil(WINDOW_SECONDS)],
             asked: 0,
             unserved: 0,
         }
@@ -72,7 +72,8 @@
     /// Counts a job of this kind that came in this second, of `size` in terms of the mean work
     /// of its kind.
     pub(crate) fn add(&mut self, kind: usize, second: usize, size: f64, outcome: Outcome) {
-        let owed = self.scenario.kinds[kind].worth * (BASE + (1.0 - BASE) * size).min(MOST);
+        let owed = self.scenario.kinds[kind].worth
+            * (FIXED_SHARE + (1.0 - FIXED_SHARE) * size).min(MAX_SIZE);
         let earned = match outcome {
             Outcome::InTime => owed,
             Outcome::Late => owed * late_share(&self.scenario.kinds[kind]),
@@ -80,7 +81,7 @@
         };
         self.overall.add(owed, earned);
         self.kinds[kind].add(owed, earned);
-        self.windows[second / WINDOW].add(owed, earned);
+        self.windows[second / WINDOW_SECONDS].add(owed, earned);
         self.asked += 1;
         self.unserved += u64::from(outcome == Outcome::Unserved);
     }
@@ -101,7 +102,7 @@
         } = self.scenario.weights;
         let mut worst: Vec<f64> = self.windows.iter().map(|window| window.share()).collect();
         worst.sort_by(f64::total_cmp);
-        worst.truncate(WORST);
+        worst.truncate(WORST_WINDOWS);
         let window = worst.iter().sum::<f64>() / worst.len().max(1) as f64;
         let kinds = self.kinds.iter().map(|kind| kind.share());
         let nines = self.unserved().max(unserved_floor).log10() / unserved_floor.log10();
--- a/crates/cassiarock-lab/src/simulation/agents.rs
+++ b/crates/cassiarock-lab/src/simulation/agents.rs
@@ -1,6 +1,6 @@
 //! The agents of a run and their upstreams.
 
-use super::{Place, Simulation, new_upstream, room};
+use super::{ProcessKind, Simulation, new_upstream, resources};
 use crate::event::{Event, Frame};
 use crate::scenario::{DisturbanceKind, UpstreamGroup};
 use crate::upstream::{Run, Upstream, millis};
@@ -12,30 +12,30 @@
 use std::time::Duration;
 
 /// A call between an agent and its upstream.
-const CALL: Duration = Duration::from_micros(300);
+const CALL_LATENCY: Duration = Duration::from_micros(300);
 
 /// How soon a task crashes what started it.
-const CRASH: Duration = Duration::from_millis(5);
+const CRASH_DELAY: Duration = Duration::from_millis(5);
 
 /// How long an upstream is away that has crashed.
-const DOWN: Duration = Duration::from_secs(3);
+const RESTART_TIME: Duration = Duration::from_secs(3);
 
 /// The pause between two regular polls.
-const POLL: Duration = Duration::from_millis(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// How long a stop takes.
-const STOP: Duration = Duration::from_millis(20);
+const STOP_LATENCY: Duration = Duration::from_millis(20);
 
 /// A failing upstream fails a task in this part of its run time.
-const FAST: f64 = 0.1;
+const FAILURE_RUN_TIME_SHARE: f64 = 0.1;
 
 /// The longest pause between two polls of an agent.
-const WAKE: Duration = Duration::from_millis(20);
+const MAX_AGENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Entries that an agent links to, as agents do in large systems.
-const LINKS: usize = 12;
+const LINKS_PER_AGENT: usize = 12;
 
-/// An agent in its present life, with its upstream.
+/// An agent in its present incarnation, with its upstream.
 pub(super) struct Agent {
     pub(super) host: Host,
     pub(super) process: Process,
@@ -44,7 +44,7 @@
     /// Whether its upstream has crashed and is not back yet.
     is_upstream_down: bool,
     /// How often its upstream has started.
-    births: u64,
+    upstream_starts: u64,
     pub(super) data_centre: Name,
     cores: f64,
     memory_mib: u64,
@@ -52,8 +52,8 @@
 }
 
 impl Agent {
-    /// The life of its upstream.
-    fn life(&self) -> Incarnation {
+    /// The incarnation of its upstream.
+    fn upstream_incarnation(&self) -> Incarnation {
         self.host
             .worker()
             .map(Worker::incarnation)
@@ -64,15 +64,15 @@
 impl Simulation<'_> {
     pub(super) fn add_agent(&mut self, number: usize, group: &UpstreamGroup) {
         let process = Process::new(format!("agent-{number}"), 0);
-        self.places
-            .insert(process.name.clone(), Place::Agent(number));
+        self.processes
+            .insert(process.name.clone(), ProcessKind::Agent(number));
         self.agents.push(Agent {
             host: Host::new(),
             process,
             upstream: new_upstream(group.cores, group.memory_mib),
             is_up: false,
             is_upstream_down: false,
-            births: 0,
+            upstream_starts: 0,
             data_centre: group.data_centre.clone(),
             cores: group.cores,
             memory_mib: group.memory_mib,
@@ -85,8 +85,8 @@
         if agent.is_up {
             return;
         }
-        let life = agent.process.incarnation + 1;
-        agent.process = Process::new(agent.process.name.clone(), life);
+        let incarnation = agent.process.incarnation + 1;
+        agent.process = Process::new(agent.process.name.clone(), incarnation);
         agent.is_up = true;
         agent.host = Host::new();
         // It has said nothing yet, and has nobody to tell.
@@ -96,8 +96,10 @@
         agent.upstream = new_upstream(agent.cores, agent.memory_mib);
         agent.is_upstream_down = false;
         self.report_upstream(number);
-        self.agenda.add(self.now, Event::Poll(number, life, true));
-        self.agenda.add(self.now, Event::WakeAgent(number, life));
+        self.event_queue
+            .add(self.now, Event::PollUpstream(number, incarnation, true));
+        self.event_queue
+            .add(self.now, Event::PollAgent(number, incarnation));
         for entry in 0..self.entries.len() {
             if self.entries[entry].is_up {
                 self.link(number, entry);
@@ -105,28 +107,28 @@
         }
     }
 
-    /// The upstream reports for the first time in a life of its own.
+    /// The upstream reports for the first time in a incarnation of its own.
     fn report_upstream(&mut self, number: usize) {
         let agent = &mut self.agents[number];
-        agent.births += 1;
+        agent.upstream_starts += 1;
         let worker = Worker {
             id: format!("u-{number}").into(),
-            started_at: Some(agent.births),
+            started_at: Some(agent.upstream_starts),
             service: "s".into(),
-            capacity: room(agent.cores, agent.memory_mib),
+            capacity: resources(agent.cores, agent.memory_mib),
             clock: millis(self.now),
             sequence: 1,
             ..Worker::default()
         };
         let actions = agent.host.handle_report(worker, self.now);
-        self.carry_out_agent(number, actions);
+        self.execute_agent_actions(number, actions);
     }
 
     /// Links an agent to an entry, if the entry is among those that it links to.
     pub(super) fn link(&mut self, number: usize, entry: usize) {
         let entries = self.entries.len();
         let distance = (entry + entries - number % entries) % entries;
-        if distance >= LINKS {
+        if distance >= LINKS_PER_AGENT {
             return;
         }
         let (agent, entry) = (&mut self.agents[number], &mut self.entries[entry]);
@@ -134,38 +136,42 @@
             .scheduler
             .link(&agent.process, &agent.data_centre, self.now);
         let actions = agent.host.link(&entry.process, self.now);
-        self.carry_out_agent(number, actions);
+        self.execute_agent_actions(number, actions);
     }
 
-    pub(super) fn lose_agent(&mut self, number: usize) {
+    pub(super) fn power_off_agent(&mut self, number: usize) {
         let agent = &mut self.agents[number];
         agent.is_up = false;
         let process = agent.process.clone();
-        for run in agent.upstream.lose() {
-            self.account(&run);
+        for run in agent.upstream.abort_all() {
+            self.record_run_end(&run);
         }
         for entry in &mut self.entries {
             entry.scheduler.unlink(&process);
         }
     }
 
-    fn is_life(&self, number: usize, life: u64) -> bool {
+    fn is_current_incarnation(&self, number: usize, incarnation: u64) -> bool {
         let agent = &self.agents[number];
-        agent.is_up && agent.process.incarnation == life
+        agent.is_up && agent.process.incarnation == incarnation
     }
 
-    pub(super) fn wake_agent(&mut self, number: usize, life: u64) {
-        if !self.is_life(number, life) {
+    pub(super) fn handle_agent_timer(&mut self, number: usize, incarnation: u64) {
+        if !self.is_current_incarnation(number, incarnation) {
             return;
         }
         let actions = self.agents[number].host.poll(self.now);
-        self.carry_out_agent(number, actions);
-        let wake = self.agents[number].host.next_poll(self.now);
-        let wake = wake.clamp(self.now + Duration::from_millis(1), self.now + WAKE);
-        self.agenda.add(wake, Event::WakeAgent(number, life));
+        self.execute_agent_actions(number, actions);
+        let next_poll = self.agents[number].host.next_poll(self.now);
+        let next_poll = next_poll.clamp(
+            self.now + Duration::from_millis(1),
+            self.now + MAX_AGENT_POLL_INTERVAL,
+        );
+        self.event_queue
+            .add(next_poll, Event::PollAgent(number, incarnation));
     }
 
-    pub(super) fn agent_receives(&mut self, number: usize, frame: Frame) {
+    pub(super) fn deliver_to_agent(&mut self, number: usize, frame: Frame) {
         let agent = &mut self.agents[number];
         if !agent.is_up || agent.process != frame.to {
             return;
@@ -173,16 +179,18 @@
         let actions = agent
             .host
             .handle_message(&frame.from, frame.message, self.now);
-        self.carry_out_agent(number, actions);
+        self.execute_agent_actions(number, actions);
     }
 
-    pub(super) fn poll(&mut self, number: usize, life: u64, is_regular: bool) {
-        if !self.is_life(number, life) {
+    pub(super) fn poll_upstream(&mut self, number: usize, incarnation: u64, is_regular: bool) {
+        if !self.is_current_incarnation(number, incarnation) {
             return;
         }
         if is_regular {
-            self.agenda
-                .add(self.now + POLL, Event::Poll(number, life, true));
+            self.event_queue.add(
+                self.now + POLL_INTERVAL,
+                Event::PollUpstream(number, incarnation, true),
+            );
         }
         let agent = &mut self.agents[number];
         if agent.is_upstream_down {
@@ -190,15 +198,15 @@
         }
         // The lease itself is not modelled: what runs ends with the upstream or its agent.
         let _ = agent.host.renew_leases(self.now);
-        let upstream = agent.life();
+        let upstream = agent.upstream_incarnation();
         let seen = agent.host.last_seen_end(self.now);
         let snapshot = agent.upstream.snapshot(upstream, seen, self.now);
         let actions = agent.host.handle_snapshot(&snapshot, self.now);
-        self.carry_out_agent(number, actions);
+        self.execute_agent_actions(number, actions);
     }
 
-    pub(super) fn carry_out_agent(&mut self, number: usize, actions: Vec<Action>) {
-        let life = self.agents[number].process.incarnation;
+    pub(super) fn execute_agent_actions(&mut self, number: usize, actions: Vec<Action>) {
+        let incarnation = self.agents[number].process.incarnation;
         for action in actions {
             match action {
                 Action::Send(to, message) => {
@@ -207,36 +215,36 @@
                 }
                 Action::Start { task, .. } => {
                     self.check_evacuation(number);
-                    let event = Event::Start(number, life, task);
-                    self.agenda.add(self.now + CALL, event);
+                    let event = Event::StartTask(number, incarnation, task);
+                    self.event_queue.add(self.now + CALL_LATENCY, event);
                 }
                 Action::Stop(task) => {
-                    let event = Event::Stop(number, life, task);
-                    self.agenda.add(self.now + STOP, event);
+                    let event = Event::StopTask(number, incarnation, task);
+                    self.event_queue.add(self.now + STOP_LATENCY, event);
                 }
                 Action::Poll => {
-                    let event = Event::Poll(number, life, false);
-                    self.agenda.add(self.now + CALL, event);
+                    let event = Event::PollUpstream(number, incarnation, false);
+                    self.event_queue.add(self.now + CALL_LATENCY, event);
                 }
                 Action::Log(_) => {}
             }
         }
     }
 
-    pub(super) fn start_task(&mut self, number: usize, life: u64, task: Task) {
-        if !self.is_life(number, life) {
+    pub(super) fn start_task(&mut self, number: usize, incarnation: u64, task: Task) {
+        if !self.is_current_incarnation(number, incarnation) {
             return;
         }
-        let Some(caller) = self.caller_of(&task.job) else {
+        let Some(caller) = self.find_caller(&task.job) else {
             self.invariants
                 .report_violation(format!("job {} is nobody's", task.job));
             return;
         };
-        let (end, lasts) = self.fate(number, caller, &task);
+        let (end, run_time) = self.planned_outcome(number, caller, &task);
         let run = Run {
             task: task.clone(),
             demand: self.callers[caller].job.stages[0].demand,
-            since: self.now,
+            started_at: self.now,
             end,
         };
         let clock = Some(millis(self.now));
@@ -248,69 +256,81 @@
         };
         let answer = match started {
             Ok(run) => {
-                if self.callers[caller].crashing == Some(task.attempt.index) {
-                    let event = Event::Crash(number, life, run);
-                    self.agenda.add(self.now + CRASH, event);
+                if self.callers[caller].crashing_task == Some(task.attempt.index) {
+                    let event = Event::UpstreamCrashes(number, incarnation, run);
+                    self.event_queue.add(self.now + CRASH_DELAY, event);
                 }
                 self.tally.started += 1;
                 self.invariants.record_start(&task.job, task.attempt.index);
-                if let Some(lasts) = lasts {
-                    let event = Event::End(number, life, run);
-                    self.agenda.add(self.now + lasts, event);
+                if let Some(run_time) = run_time {
+                    let event = Event::RunEnds(number, incarnation, run);
+                    self.event_queue.add(self.now + run_time, event);
                 }
                 StartResponse::Started
             }
             Err(answer) => answer,
         };
         let agent = &mut self.agents[number];
-        let upstream = agent.life();
+        let upstream = agent.upstream_incarnation();
         let actions = agent
             .host
             .handle_start_response(&upstream, &task, answer, clock, self.now);
-        self.carry_out_agent(number, actions);
+        self.execute_agent_actions(number, actions);
     }
 
     /// How a task ends that starts now, and after how long; never if it stands still.
-    fn fate(&mut self, number: usize, caller: usize, task: &Task) -> (Outcome, Option<Duration>) {
+    fn planned_outcome(
+        &mut self,
+        number: usize,
+        caller: usize,
+        task: &Task,
+    ) -> (Outcome, Option<Duration>) {
         let index = task.attempt.index as usize;
-        let mut lasts = self.callers[caller].runs[index].div_f64(self.agents[number].speed);
-        let at = self.now.saturating_sub(crate::caller::FIRST);
-        let on = self.scenario.disturbances.iter();
-        let on = on.filter(|disturbance| {
+        let mut run_time = self.callers[caller].runs[index].div_f64(self.agents[number].speed);
+        let at = self.now.saturating_sub(crate::caller::FIRST_ARRIVAL);
+        let active = self.scenario.disturbances.iter();
+        let active = active.filter(|disturbance| {
             disturbance.is_active(at) && disturbance.affects_upstream(number)
         });
-        for disturbance in on {
+        for disturbance in active {
             match disturbance.kind {
-                DisturbanceKind::Slow => lasts = lasts.mul_f64(disturbance.factor.max(0.01)),
+                DisturbanceKind::Slow => run_time = run_time.mul_f64(disturbance.factor.max(0.01)),
                 DisturbanceKind::Hanging => return (Outcome::Done, None),
                 DisturbanceKind::Failing
                     if self.random.random_range(0.0..1.0) < disturbance.factor =>
                 {
-                    return (Outcome::Failed, Some(lasts.mul_f64(FAST)));
+                    return (
+                        Outcome::Failed,
+                        Some(run_time.mul_f64(FAILURE_RUN_TIME_SHARE)),
+                    );
                 }
                 _ => {}
             }
         }
-        (Outcome::Done, Some(lasts))
+        (Outcome::Done, Some(run_time))
     }
 
     /// A run crashes the upstream: all that runs there is lost, and it answers nothing until it is
     /// back.
-    pub(super) fn crash(&mut self, number: usize, life: u64, run: u64) {
-        if !self.is_life(number, life) || !self.agents[number].upstream.runs(run) {
+    pub(super) fn crash_upstream(&mut self, number: usize, incarnation: u64, run: u64) {
+        if !self.is_current_incarnation(number, incarnation)
+            || !self.agents[number].upstream.has_run(run)
+        {
             return;
         }
         self.tally.crashes += 1;
         self.agents[number].is_upstream_down = true;
-        for run in self.agents[number].upstream.lose() {
-            self.account(&run);
+        for run in self.agents[number].upstream.abort_all() {
+            self.record_run_end(&run);
         }
-        self.agenda
-            .add(self.now + DOWN, Event::Return(number, life));
+        self.event_queue.add(
+            self.now + RESTART_TIME,
+            Event::UpstreamRestarts(number, incarnation),
+        );
     }
 
-    pub(super) fn return_upstream(&mut self, number: usize, life: u64) {
-        if !self.is_life(number, life) {
+    pub(super) fn restart_upstream(&mut self, number: usize, incarnation: u64) {
+        if !self.is_current_incarnation(number, incarnation) {
             return;
         }
         self.agents[number].is_upstream_down = false;
@@ -318,49 +338,53 @@
         self.report_upstream(number);
     }
 
-    pub(super) fn stop_task(&mut self, number: usize, life: u64, task: &Task) {
-        if !self.is_life(number, life) {
+    pub(super) fn stop_task(&mut self, number: usize, incarnation: u64, task: &Task) {
+        if !self.is_current_incarnation(number, incarnation) {
             return;
         }
         if let Some(run) = self.agents[number].upstream.stop(task) {
-            self.account(&run);
+            self.record_run_end(&run);
         }
         let clock = Some(millis(self.now));
         let agent = &mut self.agents[number];
-        let upstream = agent.life();
+        let upstream = agent.upstream_incarnation();
         let actions = agent
             .host
             .handle_stop_response(&upstream, task, clock, self.now);
-        self.carry_out_agent(number, actions);
-        self.agenda
-            .add(self.now + CALL, Event::Poll(number, life, false));
+        self.execute_agent_actions(number, actions);
+        self.event_queue.add(
+            self.now + CALL_LATENCY,
+            Event::PollUpstream(number, incarnation, false),
+        );
     }
 
-    pub(super) fn end_run(&mut self, number: usize, life: u64, run: u64) {
-        if !self.is_life(number, life) {
+    pub(super) fn end_run(&mut self, number: usize, incarnation: u64, run: u64) {
+        if !self.is_current_incarnation(number, incarnation) {
             return;
         }
         let Some(run) = self.agents[number].upstream.end(run) else {
             return;
         };
-        self.account(&run);
+        self.record_run_end(&run);
         if run.end == Outcome::Done {
             let work = self.work(&run);
             *self.tally.done.entry(run.task.job.clone()).or_default() += work;
         }
-        self.agenda
-            .add(self.now + CALL, Event::Poll(number, life, false));
+        self.event_queue.add(
+            self.now + CALL_LATENCY,
+            Event::PollUpstream(number, incarnation, false),
+        );
     }
 
     /// A run is over, however it ended.
-    fn account(&mut self, run: &Run) {
+    fn record_run_end(&mut self, run: &Run) {
         self.invariants
             .record_end(&run.task.job, run.task.attempt.index);
         self.tally.work += self.work(run);
     }
 
     fn work(&self, run: &Run) -> f64 {
-        let ran = self.now.saturating_sub(run.since).as_secs_f64();
+        let ran = self.now.saturating_sub(run.started_at).as_secs_f64();
         run.demand.cpu as f64 / 1000.0 * ran
     }
 }
--- a/crates/cassiarock-lab/src/simulation/callers.rs
+++ b/crates/cassiarock-lab/src/simulation/callers.rs
@@ -7,43 +7,46 @@
 use std::time::Duration;
 
 /// When a caller comes again whose connection was not taken.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// When a caller comes again whose connection broke.
-const AGAIN: Duration = Duration::from_millis(1_300);
+const RECONNECT_DELAY: Duration = Duration::from_millis(1_300);
 
 impl Simulation<'_> {
-    pub(super) fn come(&mut self, number: usize, nth: u32) {
+    pub(super) fn handle_arrival(&mut self, number: usize, attempt: u32) {
         let caller = &self.callers[number];
-        let until = caller.at
+        let departure = caller.at
             + caller
-                .leaves
+                .leaves_after
                 .unwrap_or(caller.patience)
                 .min(caller.patience);
-        if self.now >= until {
-            self.tally.unanswered(number, self.now);
+        if self.now >= departure {
+            self.tally.record_unanswered(number, self.now);
             return;
         }
         let entry = caller.entry;
         if !self.entries[entry].is_up {
-            self.agenda
-                .add(self.now + CONNECT, Event::Come(number, nth));
+            self.event_queue.add(
+                self.now + CONNECT_RETRY_DELAY,
+                Event::CallerArrives(number, attempt),
+            );
             return;
         }
-        let left = caller.at + caller.patience - self.now;
+        let time_left = caller.at + caller.patience - self.now;
         let (job, class) = (caller.job.clone(), caller.class.clone());
         let submission = self.submissions.len() as u64 + 1;
-        self.submissions.insert(submission, (number, nth));
+        self.submissions.insert(submission, (number, attempt));
         self.invariants.record_submission(&job.id);
-        self.agenda.add(until, Event::Leave(number, nth));
+        self.event_queue
+            .add(departure, Event::CallerLeaves(number, attempt));
         let scheduler = &mut self.entries[entry].scheduler;
-        let actions = scheduler.submit(submission, job, class, left, self.now);
-        self.carry_out_entry(entry, actions);
+        let actions = scheduler.submit(submission, job, class, time_left, self.now);
+        self.execute_entry_actions(entry, actions);
         self.poll_entry(entry);
     }
 
-    pub(super) fn leave(&mut self, number: usize, nth: u32) {
-        if self.invariants.is_answered(number, nth) || self.tally.is_settled(number) {
+    pub(super) fn handle_departure(&mut self, number: usize, attempt: u32) {
+        if self.invariants.is_answered(number, attempt) || self.tally.is_settled(number) {
             return;
         }
         let entry = self.callers[number].entry;
@@ -53,53 +56,56 @@
         else {
             return;
         };
-        self.tally.unanswered(number, self.now);
+        self.tally.record_unanswered(number, self.now);
         let scheduler = &mut self.entries[entry].scheduler;
         let actions = scheduler.abandon(submission, "its caller left", self.now);
-        self.carry_out_entry(entry, actions);
+        self.execute_entry_actions(entry, actions);
     }
 
     pub(super) fn answer(&mut self, submission: u64, answer: Answer) {
-        let Some((number, nth)) = self.submissions.get(&submission).copied() else {
+        let Some((number, attempt)) = self.submissions.get(&submission).copied() else {
             self.invariants
                 .report_violation(format!("answer to no submission {submission}"));
             return;
         };
         let not_run = matches!(answer, Answer::Refused { .. });
         let job = self.callers[number].job.id.clone();
-        self.invariants.record_answer(number, nth, &job, not_run);
+        self.invariants
+            .record_answer(number, attempt, &job, not_run);
         self.tally
-            .answered(number, &self.callers[number], answer, self.now);
+            .record_answer(number, &self.callers[number], answer, self.now);
     }
 
     /// The connections of an entry's callers break: they come again.
-    pub(super) fn break_connections(&mut self, entry: usize) {
+    pub(super) fn reconnect_callers(&mut self, entry: usize) {
         let open: Vec<(usize, u32)> = self
             .submissions
             .values()
             .copied()
-            .filter(|(number, nth)| {
+            .filter(|(number, attempt)| {
                 self.callers[*number].entry == entry
-                    && !self.invariants.is_answered(*number, *nth)
+                    && !self.invariants.is_answered(*number, *attempt)
                     && !self.tally.is_settled(*number)
             })
             .collect();
-        let mut last: Vec<(usize, u32)> = Vec::new();
-        for (number, nth) in open {
-            match last.iter_mut().find(|(other, _)| *other == number) {
-                Some((_, most)) => *most = nth.max(*most),
-                None => last.push((number, nth)),
+        let mut latest: Vec<(usize, u32)> = Vec::new();
+        for (number, attempt) in open {
+            match latest.iter_mut().find(|(other, _)| *other == number) {
+                Some((_, highest)) => *highest = attempt.max(*highest),
+                None => latest.push((number, attempt)),
             }
         }
-        last.sort_unstable();
-        for (number, nth) in last {
-            self.agenda
-                .add(self.now + AGAIN, Event::Come(number, nth + 1));
+        latest.sort_unstable();
+        for (number, attempt) in latest {
+            self.event_queue.add(
+                self.now + RECONNECT_DELAY,
+                Event::CallerArrives(number, attempt + 1),
+            );
         }
     }
 
     /// Whose job this is.
-    pub(super) fn caller_of(&self, job: &Name) -> Option<usize> {
+    pub(super) fn find_caller(&self, job: &Name) -> Option<usize> {
         let number = usize::from_str_radix(job, 16).ok()?;
         (number < self.callers.len()).then_some(number)
     }
--- a/crates/cassiarock-lab/src/simulation/emptying.rs
+++ b/crates/cassiarock-lab/src/simulation/emptying.rs
@@ -1,19 +1,19 @@
 //! Operators empty data centres.
 
 use super::Simulation;
-use crate::caller::FIRST;
+use crate::caller::FIRST_ARRIVAL;
 use crate::scenario::DisturbanceKind;
 use cassiarock_transient::evacuation::State;
 
 impl Simulation<'_> {
     /// Tells all processes which data centres are being emptied now.
-    pub(super) fn evacuate(&mut self) {
-        let at = self.now - FIRST;
-        let on = self.scenario.disturbances.iter();
-        let on = on.filter(|disturbance| {
+    pub(super) fn update_evacuations(&mut self) {
+        let at = self.now - FIRST_ARRIVAL;
+        let active = self.scenario.disturbances.iter();
+        let active = active.filter(|disturbance| {
             disturbance.kind == DisturbanceKind::Emptied && disturbance.is_active(at)
         });
-        let emptied = on.filter_map(|disturbance| disturbance.data_centre.clone());
+        let emptied = active.filter_map(|disturbance| disturbance.data_centre.clone());
         self.evacuations = State::new(self.evacuations.next_offset() + 1, emptied);
         for entry in &mut self.entries {
             entry.scheduler.set_evacuations(self.evacuations.clone());
@@ -22,7 +22,7 @@
             let agent = &mut self.agents[number];
             let is_evacuated = self.evacuations.contains(&agent.data_centre);
             let actions = agent.host.set_evacuated(is_evacuated);
-            self.carry_out_agent(number, actions);
+            self.execute_agent_actions(number, actions);
         }
     }
 
--- a/crates/cassiarock-lab/src/simulation/entries.rs
+++ b/crates/cassiarock-lab/src/simulation/entries.rs
@@ -1,37 +1,37 @@
 //! The entries of a run.
 
-use super::{Place, Simulation};
+use super::{ProcessKind, Simulation};
 use crate::event::{Event, Frame};
 use cassiarock_id::{Name, Process};
 use cassiarock_transient::Scheduler;
 use cassiarock_transient::scheduler::Action;
 use std::time::Duration;
 
-/// An entry in its present life.
+/// An entry in its present incarnation.
 pub(super) struct Entry {
     pub(super) scheduler: Scheduler,
     pub(super) process: Process,
     pub(super) is_up: bool,
-    /// What it had learned of callers is on record for its next life.
+    /// What it had learned of callers is on record for its next incarnation.
     learned: Vec<(Name, Duration)>,
 }
 
 impl Simulation<'_> {
     pub(super) fn add_entry(&mut self, number: usize) {
         let process = Process::new(format!("entry-{number}"), 1);
-        self.places
-            .insert(process.name.clone(), Place::Entry(number));
+        self.processes
+            .insert(process.name.clone(), ProcessKind::Entry(number));
         self.entries.push(Entry {
             scheduler: self.scheduler(number, 1),
             process,
             is_up: true,
             learned: Vec::new(),
         });
-        self.agenda.add(self.now, Event::WakeEntry(number, 1));
+        self.event_queue.add(self.now, Event::PollEntry(number, 1));
     }
 
-    fn scheduler(&self, number: usize, life: u64) -> Scheduler {
-        let seed = self.seed ^ (life << 32) ^ number as u64;
+    fn scheduler(&self, number: usize, incarnation: u64) -> Scheduler {
+        let seed = self.seed ^ (incarnation << 32) ^ number as u64;
         let mut scheduler = Scheduler::new()
             .with_mechanisms(self.mechanisms)
             .with_seed(seed);
@@ -39,7 +39,7 @@
         scheduler
     }
 
-    pub(super) fn lose_entry(&mut self, number: usize) {
+    pub(super) fn power_off_entry(&mut self, number: usize) {
         let entry = &mut self.entries[number];
         entry.is_up = false;
         let known = entry.scheduler.usual_patience();
@@ -49,20 +49,21 @@
         for agent in &mut self.agents {
             agent.host.unlink(&process);
         }
-        self.break_connections(number);
+        self.reconnect_callers(number);
     }
 
     pub(super) fn start_entry(&mut self, number: usize) {
-        let life = self.entries[number].process.incarnation + 1;
-        let mut scheduler = self.scheduler(number, life);
+        let incarnation = self.entries[number].process.incarnation + 1;
+        let mut scheduler = self.scheduler(number, incarnation);
         let entry = &mut self.entries[number];
         for (route, least) in &entry.learned {
             scheduler.adopt_patience(route, *least);
         }
         entry.scheduler = scheduler;
-        entry.process = Process::new(entry.process.name.clone(), life);
+        entry.process = Process::new(entry.process.name.clone(), incarnation);
         entry.is_up = true;
-        self.agenda.add(self.now, Event::WakeEntry(number, life));
+        self.event_queue
+            .add(self.now, Event::PollEntry(number, incarnation));
         for agent in 0..self.agents.len() {
             if self.agents[agent].is_up {
                 self.link(agent, number);
@@ -70,25 +71,26 @@
         }
     }
 
-    pub(super) fn wake_entry(&mut self, number: usize, life: u64) {
+    pub(super) fn handle_entry_timer(&mut self, number: usize, incarnation: u64) {
         let entry = &self.entries[number];
-        if !entry.is_up || entry.process.incarnation != life {
+        if !entry.is_up || entry.process.incarnation != incarnation {
             return;
         }
         self.poll_entry(number);
-        let wake = self.entries[number].scheduler.next_poll(self.now);
-        let wake = wake.max(self.now + Duration::from_millis(1));
-        self.agenda.add(wake, Event::WakeEntry(number, life));
+        let next_poll = self.entries[number].scheduler.next_poll(self.now);
+        let next_poll = next_poll.max(self.now + Duration::from_millis(1));
+        self.event_queue
+            .add(next_poll, Event::PollEntry(number, incarnation));
     }
 
     pub(super) fn poll_entry(&mut self, number: usize) {
         let actions = self.entries[number].scheduler.poll(self.now);
-        self.carry_out_entry(number, actions);
+        self.execute_entry_actions(number, actions);
         let jobs = self.entries[number].scheduler.job_count();
-        self.tally.queue = self.tally.queue.max(jobs);
+        self.tally.max_queue = self.tally.max_queue.max(jobs);
     }
 
-    pub(super) fn entry_receives(&mut self, number: usize, frame: Frame) {
+    pub(super) fn deliver_to_entry(&mut self, number: usize, frame: Frame) {
         let entry = &mut self.entries[number];
         if !entry.is_up || entry.process != frame.to {
             return;
@@ -96,11 +98,11 @@
         let actions = entry
             .scheduler
             .handle_message(&frame.from, frame.message, self.now);
-        self.carry_out_entry(number, actions);
+        self.execute_entry_actions(number, actions);
         self.poll_entry(number);
     }
 
-    pub(super) fn carry_out_entry(&mut self, number: usize, actions: Vec<Action>) {
+    pub(super) fn execute_entry_actions(&mut self, number: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => {
--- a/crates/cassiarock-lab/src/simulation/mod.rs
+++ b/crates/cassiarock-lab/src/simulation/mod.rs
@@ -6,8 +6,8 @@
 mod entries;
 mod tally;
 
-use crate::caller::{Caller, FIRST, callers};
-use crate::event::{Agenda, Event, Frame};
+use crate::caller::{Caller, FIRST_ARRIVAL, callers};
+use crate::event::{Event, EventQueue, Frame};
 use crate::invariants::InvariantChecker;
 use crate::result::SeedResult;
 use crate::scenario::{Disturbance, DisturbanceKind, Scenario};
@@ -24,14 +24,14 @@
 use tally::Tally;
 
 /// One way between processes of one data centre.
-const NEAR: Duration = Duration::from_micros(100);
+const LOCAL_LATENCY: Duration = Duration::from_micros(100);
 
 /// How long after the last caller everything has to be over.
-const END: Duration = Duration::from_secs(15);
+const DRAIN_TIME: Duration = Duration::from_secs(15);
 
 /// Who a process is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Place {
+enum ProcessKind {
     Entry(usize),
     Agent(usize),
 }
@@ -42,8 +42,8 @@
     mechanisms: Mechanisms,
     seed: u64,
     now: Duration,
-    agenda: Agenda,
-    places: HashMap<Name, Place>,
+    event_queue: EventQueue,
+    processes: HashMap<Name, ProcessKind>,
     entries: Vec<Entry>,
     agents: Vec<Agent>,
     callers: Vec<Caller>,
@@ -60,14 +60,14 @@
 pub(crate) fn run_seed(scenario: &Scenario, mechanisms: Mechanisms, seed: u64) -> SeedResult {
     let mut random = ChaCha12Rng::seed_from_u64(seed);
     let callers = callers(scenario, &mut random);
-    let bound = crate::bound::bound(scenario, &callers);
+    let in_time_bound = crate::bound::in_time_bound(scenario, &callers);
     let mut simulation = Simulation {
         scenario,
         mechanisms,
         seed,
         now: Duration::ZERO,
-        agenda: Agenda::default(),
-        places: HashMap::new(),
+        event_queue: EventQueue::default(),
+        processes: HashMap::new(),
         entries: Vec::new(),
         agents: Vec::new(),
         callers,
@@ -79,7 +79,7 @@
     };
     simulation.set_up();
     simulation.run();
-    simulation.close();
+    simulation.check_leftovers();
     let Simulation {
         tally,
         callers,
@@ -88,7 +88,7 @@
     } = simulation;
     SeedResult {
         seed,
-        in_time_bound: bound,
+        in_time_bound,
         violations: invariants.violations,
         ..tally.result(scenario, &callers)
     }
@@ -110,93 +110,102 @@
             self.start_agent(number);
         }
         for (number, caller) in self.callers.iter().enumerate() {
-            self.agenda.add(caller.at, Event::Come(number, 1));
+            self.event_queue
+                .add(caller.at, Event::CallerArrives(number, 1));
         }
         for (number, disturbance) in self.scenario.disturbances.iter().enumerate() {
-            self.agenda
-                .add(FIRST + disturbance.start, Event::Begin(number));
-            self.agenda.add(
-                FIRST + disturbance.start + disturbance.duration,
-                Event::Over(number),
+            self.event_queue.add(
+                FIRST_ARRIVAL + disturbance.start,
+                Event::DisturbanceBegins(number),
+            );
+            self.event_queue.add(
+                FIRST_ARRIVAL + disturbance.start + disturbance.duration,
+                Event::DisturbanceEnds(number),
             );
         }
     }
 
     fn run(&mut self) {
-        let end = FIRST + self.scenario.length + END;
-        while let Some((at, event)) = self.agenda.next() {
+        let end = FIRST_ARRIVAL + self.scenario.length + DRAIN_TIME;
+        while let Some((at, event)) = self.event_queue.next() {
             if at > end {
                 return;
             }
             self.now = at;
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Come(caller, nth) => self.come(caller, nth),
-            Event::Leave(caller, nth) => self.leave(caller, nth),
+            Event::CallerArrives(caller, attempt) => self.handle_arrival(caller, attempt),
+            Event::CallerLeaves(caller, attempt) => self.handle_departure(caller, attempt),
             Event::Frame(frame) => self.deliver(*frame),
-            Event::WakeEntry(entry, life) => self.wake_entry(entry, life),
-            Event::WakeAgent(agent, life) => self.wake_agent(agent, life),
-            Event::Poll(agent, life, is_regular) => self.poll(agent, life, is_regular),
-            Event::Start(agent, life, task) => self.start_task(agent, life, task),
-            Event::Stop(agent, life, task) => self.stop_task(agent, life, &task),
-            Event::End(agent, life, run) => self.end_run(agent, life, run),
-            Event::Crash(agent, life, run) => self.crash(agent, life, run),
-            Event::Return(agent, life) => self.return_upstream(agent, life),
-            Event::Begin(number) => self.begin(number),
-            Event::Over(number) => self.over(number),
+            Event::PollEntry(entry, incarnation) => self.handle_entry_timer(entry, incarnation),
+            Event::PollAgent(agent, incarnation) => self.handle_agent_timer(agent, incarnation),
+            Event::PollUpstream(agent, incarnation, is_regular) => {
+                self.poll_upstream(agent, incarnation, is_regular)
+            }
+            Event::StartTask(agent, incarnation, task) => self.start_task(agent, incarnation, task),
+            Event::StopTask(agent, incarnation, task) => self.stop_task(agent, incarnation, &task),
+            Event::RunEnds(agent, incarnation, run) => self.end_run(agent, incarnation, run),
+            Event::UpstreamCrashes(agent, incarnation, run) => {
+                self.crash_upstream(agent, incarnation, run)
+            }
+            Event::UpstreamRestarts(agent, incarnation) => {
+                self.restart_upstream(agent, incarnation)
+            }
+            Event::DisturbanceBegins(number) => self.begin_disturbance(number),
+            Event::DisturbanceEnds(number) => self.end_disturbance(number),
         }
     }
 
-    /// Sends a message; what is sent to a life that has ended by then is lost.
+    /// Sends a message; what is sent to a incarnation that has ended by then is lost.
     fn send(&mut self, from: Process, to: Process, message: Message) {
-        let is_beat = matches!(
+        let is_heartbeat = matches!(
             message,
             Message::EntryHeartbeat { .. } | Message::AgentHeartbeat { .. }
         );
-        if !is_beat {
+        if !is_heartbeat {
             self.tally.frames += 1;
         }
-        let near = self.data_centre(&from) == self.data_centre(&to);
-        let delay = if near {
-            NEAR
+        let is_local = self.data_centre(&from) == self.data_centre(&to);
+        let delay = if is_local {
+            LOCAL_LATENCY
         } else {
             self.scenario.cross_data_centre_latency
         };
         let frame = Frame { from, to, message };
-        self.agenda
+        self.event_queue
             .add(self.now + delay, Event::Frame(Box::new(frame)));
     }
 
     fn data_centre(&self, process: &Process) -> Option<&Name> {
-        match self.places.get(&process.name)? {
-            Place::Entry(number) => Some(&self.scenario.entries[*number].data_centre),
-            Place::Agent(number) => Some(&self.agents[*number].data_centre),
+        match self.processes.get(&process.name)? {
+            ProcessKind::Entry(number) => Some(&self.scenario.entries[*number].data_centre),
+            ProcessKind::Agent(number) => Some(&self.agents[*number].data_centre),
         }
     }
 
     fn deliver(&mut self, frame: Frame) {
-        match self.places.get(&frame.to.name) {
-            Some(Place::Entry(number)) => self.entry_receives(*number, frame),
-            Some(Place::Agent(number)) => self.agent_receives(*number, frame),
+        match self.processes.get(&frame.to.name) {
+            Some(ProcessKind::Entry(number)) => self.deliver_to_entry(*number, frame),
+            Some(ProcessKind::Agent(number)) => self.deliver_to_agent(*number, frame),
             None => {}
         }
     }
 
-    fn begin(&mut self, number: usize) {
+    fn begin_disturbance(&mut self, number: usize) {
         let disturbance = self.scenario.disturbances[number].clone();
         match disturbance.kind {
-            DisturbanceKind::Lost => self.lose_agents(&disturbance),
+            DisturbanceKind::Lost => self.power_off_agents(&disturbance),
             DisturbanceKind::AllLost => {
-                self.lose_agents(&disturbance);
+                self.power_off_agents(&disturbance);
                 for entry in 0..self.entries.len() {
-                    self.lose_entry(entry);
+                    self.power_off_entry(entry);
                 }
             }
-            DisturbanceKind::Emptied => self.evacuate(),
+            DisturbanceKind::Emptied => self.update_evacuations(),
             DisturbanceKind::Burst
             | DisturbanceKind::Slow
             | DisturbanceKind::Failing
@@ -205,10 +214,10 @@
         }
     }
 
-    fn over(&mut self, number: usize) {
+    fn end_disturbance(&mut self, number: usize) {
         let disturbance = self.scenario.disturbances[number].clone();
         if disturbance.kind == DisturbanceKind::Emptied {
-            self.evacuate();
+            self.update_evacuations();
         }
         if !matches!(
             disturbance.kind,
@@ -221,18 +230,18 @@
                 self.start_entry(entry);
             }
         }
-        for agent in self.struck(&disturbance) {
+        for agent in self.affected_agents(&disturbance) {
             self.start_agent(agent);
         }
     }
 
-    fn lose_agents(&mut self, disturbance: &Disturbance) {
-        for agent in self.struck(disturbance) {
-            self.lose_agent(agent);
+    fn power_off_agents(&mut self, disturbance: &Disturbance) {
+        for agent in self.affected_agents(disturbance) {
+            self.power_off_agent(agent);
         }
     }
 
-    fn struck(&self, disturbance: &Disturbance) -> Vec<usize> {
+    fn affected_agents(&self, disturbance: &Disturbance) -> Vec<usize> {
         let all = disturbance.kind == DisturbanceKind::AllLost;
         let agents = 0..self.agents.len();
         agents
@@ -241,7 +250,7 @@
     }
 
     /// Nothing is left over once all callers are gone.
-    fn close(&mut self) {
+    fn check_leftovers(&mut self) {
         for entry in &self.entries {
             let jobs = entry.scheduler.job_count();
             if jobs > 0 {
@@ -250,7 +259,7 @@
             }
         }
         for agent in &self.agents {
-            let (held, running) = (agent.host.attempt_count(), agent.upstream.running());
+            let (held, running) = (agent.host.attempt_count(), agent.upstream.run_count());
             if held + running > 0 {
                 let name = &agent.process.name;
                 let fault = format!("{name} has {held} tasks left, its upstream {running}");
@@ -260,10 +269,10 @@
     }
 }
 
-fn room(cores: f64, memory_mib: u64) -> cassiarock_transient::Resources {
+fn resources(cores: f64, memory_mib: u64) -> cassiarock_transient::Resources {
     cassiarock_transient::Resources::new((cores * 1000.0) as u64, memory_mib, 0)
 }
 
 fn new_upstream(cores: f64, memory_mib: u64) -> Upstream {
-    Upstream::new(room(cores, memory_mib))
+    Upstream::new(resources(cores, memory_mib))
 }
--- a/crates/cassiarock-lab/src/simulation/tally.rs
+++ b/crates/cassiarock-lab/src/simulation/tally.rs
@@ -1,9 +1,9 @@
 //! What callers got.
 
-use crate::caller::{Caller, FIRST};
-use crate::measure::{Measure, Outcome};
+use crate::caller::{Caller, FIRST_ARRIVAL};
 use crate::result::{KindResult, SeedResult, jain};
 use crate::scenario::Scenario;
+use crate::score::{Outcome, Scorer};
 use cassiarock_id::Name;
 use cassiarock_transient::scheduler::Answer;
 use hdrhistogram::Histogram;
@@ -12,7 +12,7 @@
 
 /// How a caller fared.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
+enum CallerOutcome {
     InTime,
     Late,
     Refused,
@@ -24,7 +24,7 @@
 /// The counts of a run.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
-    fates: HashMap<usize, (Fate, Duration)>,
+    outcomes: HashMap<usize, (CallerOutcome, Duration)>,
     /// Messages between entries and agents, heartbeats left out.
     pub(super) frames: u64,
     /// Tasks started on upstreams.
@@ -37,37 +37,39 @@
     pub(super) done: BTreeMap<Name, f64>,
     /// Core-seconds of jobs whose callers got an answer.
     useful: f64,
-    pub(super) queue: usize,
+    pub(super) max_queue: usize,
 }
 
 impl Tally {
     pub(super) fn is_settled(&self, caller: usize) -> bool {
-        self.fates.contains_key(&caller)
+        self.outcomes.contains_key(&caller)
     }
 
-    pub(super) fn unanswered(&mut self, caller: usize, now: Duration) {
-        self.fates.entry(caller).or_insert((Fate::Unanswered, now));
+    pub(super) fn record_unanswered(&mut self, caller: usize, now: Duration) {
+        self.outcomes
+            .entry(caller)
+            .or_insert((CallerOutcome::Unanswered, now));
     }
 
-    pub(super) fn answered(
+    pub(super) fn record_answer(
         &mut self,
         number: usize,
         caller: &Caller,
         answer: Answer,
         now: Duration,
     ) {
-        let fate = match answer {
-            Answer::Completed if now <= caller.at + caller.objective => Fate::InTime,
-            Answer::Completed => Fate::Late,
-            Answer::Refused { .. } => Fate::Refused,
-            Answer::GivenUp => Fate::GivenUp,
-            Answer::Failed => Fate::Failed,
-            Answer::Cancelled => Fate::Unanswered,
+        let outcome = match answer {
+            Answer::Completed if now <= caller.at + caller.objective => CallerOutcome::InTime,
+            Answer::Completed => CallerOutcome::Late,
+            Answer::Refused { .. } => CallerOutcome::Refused,
+            Answer::GivenUp => CallerOutcome::GivenUp,
+            Answer::Failed => CallerOutcome::Failed,
+            Answer::Cancelled => CallerOutcome::Unanswered,
         };
         if answer == Answer::Completed {
             self.useful += self.done.get(&caller.job.id).copied().unwrap_or_default();
         }
-        self.fates.entry(number).or_insert((fate, now));
+        self.outcomes.entry(number).or_insert((outcome, now));
     }
 
     pub(super) fn result(&self, scenario: &Scenario, callers: &[Caller]) -> SeedResult {
@@ -82,24 +84,25 @@
         let mut seconds = vec![(0_u64, 0_u64); scenario.length.as_secs_f64().ceil() as usize];
         let mut entries = vec![(0_u64, 0_u64); scenario.entries.len()];
         // Three digits of times up to ten minutes; the bounds are constants that it takes.
-        let mut measure = Measure::new(scenario);
+        let mut measure = Scorer::new(scenario);
         let means = mean_work(scenario, callers);
         let mut refusals = Histogram::<u64>::new_with_bounds(1, 600_000, 3).ok();
-        let owed = callers.iter().enumerate();
+        let counted = callers.iter().enumerate();
         // A job that crashes upstreams can be done nowhere.
-        let owed = owed.filter(|(_, caller)| caller.leaves.is_none() && caller.crashing.is_none());
-        for (number, caller) in owed {
-            let (fate, at) = self.fate(number, caller);
-            let is_in_time = u64::from(fate == Fate::InTime);
-            count(&mut kinds[caller.kind], fate);
-            let second = (caller.at - FIRST).as_secs() as usize;
+        let counted = counted
+            .filter(|(_, caller)| caller.leaves_after.is_none() && caller.crashing_task.is_none());
+        for (number, caller) in counted {
+            let (outcome, at) = self.caller_outcome(number, caller);
+            let is_in_time = u64::from(outcome == CallerOutcome::InTime);
+            count(&mut kinds[caller.kind], outcome);
+            let second = (caller.at - FIRST_ARRIVAL).as_secs() as usize;
             let size = caller.work() / means[caller.kind].max(f64::MIN_POSITIVE);
-            measure.add(caller.kind, second, size, fate.outcome());
+            measure.add(caller.kind, second, size, outcome.score_outcome());
             for (asked, in_time) in [&mut seconds[second], &mut entries[caller.entry]] {
                 *asked += 1;
                 *in_time += is_in_time;
             }
-            if let (Fate::Refused, Some(refusals)) = (fate, &mut refusals) {
+            if let (CallerOutcome::Refused, Some(refusals)) = (outcome, &mut refusals) {
                 let took = (at - caller.at).as_millis() as u64;
                 refusals.saturating_record(took.max(1));
             }
@@ -132,7 +135,7 @@
                     .map(|(asked, got)| share(*got, *asked))
                     .collect::<Vec<_>>(),
             ),
-            max_queue: self.queue,
+            max_queue: self.max_queue,
             crashes: self.crashes,
             worth: measure.worth(),
             unserved: measure.unserved(),
@@ -141,14 +144,14 @@
         }
     }
 
-    fn fate(&self, number: usize, caller: &Caller) -> (Fate, Duration) {
-        let fate = self.fates.get(&number).copied();
-        fate.unwrap_or((Fate::Unanswered, caller.at + caller.patience))
+    fn caller_outcome(&self, number: usize, caller: &Caller) -> (CallerOutcome, Duration) {
+        let outcome = self.outcomes.get(&number).copied();
+        outcome.unwrap_or((CallerOutcome::Unanswered, caller.at + caller.patience))
     }
 }
 
-impl Fate {
-    const fn outcome(self) -> Outcome {
+impl CallerOutcome {
+    const fn score_outcome(self) -> Outcome {
         match self {
             Self::InTime => Outcome::InTime,
             Self::Late => Outcome::Late,
@@ -169,15 +172,15 @@
     means.collect()
 }
 
-fn count(kind: &mut KindResult, fate: Fate) {
+fn count(kind: &mut KindResult, outcome: CallerOutcome) {
     kind.asked += 1;
-    *match fate {
-        Fate::InTime => &mut kind.in_time,
-        Fate::Late => &mut kind.late,
-        Fate::Refused => &mut kind.refused,
-        Fate::GivenUp => &mut kind.given_up,
-        Fate::Failed => &mut kind.failed,
-        Fate::Unanswered => &mut kind.unanswered,
+    *match outcome {
+        CallerOutcome::InTime => &mut kind.in_time,
+        CallerOutcome::Late => &mut kind.late,
+        CallerOutcome::Refused => &mut kind.refused,
+        CallerOutcome::GivenUp => &mut kind.given_up,
+        CallerOutcome::Failed => &mut kind.failed,
+        CallerOutcome::Unanswered => &mut kind.unanswered,
     } += 1;
 }
 
--- a/crates/cassiarock-lab/src/upstream.rs
+++ b/crates/cassiarock-lab/src/upstream.rs
@@ -12,18 +12,18 @@
 pub(crate) struct Run {
     pub(crate) task: Task,
     pub(crate) demand: Resources,
-    pub(crate) since: Duration,
+    pub(crate) started_at: Duration,
     /// How it is going to end.
     pub(crate) end: Outcome,
 }
 
-/// One upstream in one life.
+/// One upstream in one incarnation.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
     pub(crate) capacity: Resources,
     runs: BTreeMap<u64, Run>,
     ended: Vec<(u64, Task, Outcome)>,
-    ends: u64,
+    end_count: u64,
     started: u64,
 }
 
@@ -33,18 +33,18 @@
             capacity,
             runs: BTreeMap::new(),
             ended: Vec::new(),
-            ends: 0,
+            end_count: 0,
             started: 0,
         }
     }
 
     /// Starts a task if there is room. Gives the run's number.
     pub(crate) fn start(&mut self, run: Run) -> Result<u64, StartResponse> {
-        let taken = self.runs.values();
-        let taken = taken.fold(Resources::default(), |sum, run| {
+        let used = self.runs.values();
+        let used = used.fold(Resources::default(), |sum, run| {
             sum.saturating_add(&run.demand)
         });
-        if !run.demand.fits_in(&self.capacity.saturating_sub(&taken)) {
+        if !run.demand.fits_in(&self.capacity.saturating_sub(&used)) {
             return Err(StartResponse::Full);
         }
         self.started += 1;
@@ -53,14 +53,14 @@
     }
 
     /// Whether the run with this number is there.
-    pub(crate) fn runs(&self, number: u64) -> bool {
+    pub(crate) fn has_run(&self, number: u64) -> bool {
         self.runs.contains_key(&number)
     }
 
-    /// A run ends by itself.
+    /// A run end_count by itself.
     pub(crate) fn end(&mut self, number: u64) -> Option<Run> {
         let run = self.runs.remove(&number)?;
-        self.list(run.task.clone(), run.end);
+        self.push_ended(run.task.clone(), run.end);
         Some(run)
     }
 
@@ -69,52 +69,57 @@
         let found = self.runs.iter().find(|(_, run)| run.task == *task);
         let number = found.map(|(number, _)| *number)?;
         let run = self.runs.remove(&number)?;
-        self.list(run.task.clone(), Outcome::Stopped);
+        self.push_ended(run.task.clone(), Outcome::Stopped);
         Some(run)
     }
 
-    fn list(&mut self, task: Task, end: Outcome) {
-        self.ends += 1;
-        self.ended.push((self.ends, task, end));
+    fn push_ended(&mut self, task: Task, end: Outcome) {
+        self.end_count += 1;
+        self.ended.push((self.end_count, task, end));
     }
 
-    /// What an agent sees that has taken the ends up to `seen`.
-    pub(crate) fn snapshot(&mut self, life: Incarnation, seen: u64, now: Duration) -> Snapshot {
+    /// What an agent sees that has taken the end_count up to `seen`.
+    pub(crate) fn snapshot(
+        &mut self,
+        incarnation: Incarnation,
+        seen: u64,
+        now: Duration,
+    ) -> Snapshot {
         self.ended.retain(|(number, ..)| *number > seen);
-        let named = |task: &Task| -> (Name, AttemptKey) {
+        let key = |task: &Task| -> (Name, AttemptKey) {
             let attempt = task.attempt;
-            let named = AttemptKey {
+            let key = AttemptKey {
                 stage: attempt.stage,
                 index: attempt.index,
                 attempt: attempt.attempt,
             };
-            (task.job.clone(), named)
+            (task.job.clone(), key)
         };
         let ended = self.ended.iter().map(|(number, task, end)| {
-            let (job, attempt) = named(task);
+            let (job, attempt) = key(task);
             (*number, job, attempt, *end)
         });
         Snapshot {
-            incarnation: life,
+            incarnation,
             clock: millis(now),
             asked: now,
-            running: self.runs.values().map(|run| named(&run.task)).collect(),
+            running: self.runs.values().map(|run| key(&run.task)).collect(),
             ended: ended.collect(),
         }
     }
 
-    /// A new life: its ends are numbered anew.
+    /// A new incarnation: its end_count are numbered anew.
     pub(crate) fn restart(&mut self) {
         self.ended.clear();
-        self.ends = 0;
+        self.end_count = 0;
     }
 
-    /// Everything ends with the upstream's power.
-    pub(crate) fn lose(&mut self) -> Vec<Run> {
+    /// Everything end_count with the upstream's power.
+    pub(crate) fn abort_all(&mut self) -> Vec<Run> {
         std::mem::take(&mut self.runs).into_values().collect()
     }
 
-    pub(crate) fn running(&self) -> usize {
+    pub(crate) fn run_count(&self) -> usize {
         self.runs.len()
     }
 }
