--- a/crates/cassiarock-lab/src/bound.rs
+++ b/crates/cassiarock-lab/src/bound.rs
@@ -1,24 +1,25 @@
-//! A bound on what any scheduler can answer in time.
+//! An upper bound on the share of callers that any scheduler can answer in time.
 //!
-//! In a span of arrivals, what is answered in time is done between the first arrival and the
-//! last one's objective. The upstreams can do so much work in that time; the smallest jobs fill
-//! it with the answered answers. Leaving out delays, whole tasks, widths and who comes when within
-//! the span only allows more. So the sum over spans that cover a run can't be exceeded, and
-//! the least such sum over several lengths of span is given; jobs with long objectives, which
-//! would lengthen each span, are also tried as answered without any work. It is loose: in a
-//! burst that is shorter than the objectives by nearly all of what the burst exceeds.
+//! Jobs that arrive within a span and are answered in time run between the first arrival and the
+//! last objective. The upstreams' capacity in that interval limits their total work, and taking
+//! the smallest jobs first gives the most answers. Ignoring delays, indivisible tasks, the cores
+//! that a task needs at once and the order of arrivals within the span can only raise the count.
+//! So the sum over spans that cover a run can't be exceeded. The bound is the least such sum over
+//! several span lengths; since jobs with long objectives lengthen each span, it is also computed
+//! with them counted as answered without any work. The bound is loose: in a burst shorter than
+//! the objectives, by nearly all of the load beyond capacity.
 
 use crate::caller::{Caller, FIRST_ARRIVAL};
 use crate::scenario::{Disturbance, DisturbanceKind, Scenario};
 use std::time::Duration;
 
-/// Lengths of spans, in seconds; the whole run is one more.
+/// Span lengths to try, beside the whole run.
 const SPAN_SECONDS: [f64; 5] = [0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// Objectives, in seconds, beyond which jobs count as answered without work; or none.
+/// Objectives beyond which jobs count as answered without work; infinity exempts no job.
 const OBJECTIVE_LIMITS_SECONDS: [f64; 4] = [0.25, 0.5, 1.0, f64::INFINITY];
 
-/// The share of counted callers that could be answered in time.
+/// The largest possible share of callers answered in time, among those who don't leave early.
 pub(crate) fn in_time_bound(scenario: &Scenario, callers: &[Caller]) -> f64 {
     let counted: Vec<&Caller> = callers
         .iter()
@@ -63,20 +64,20 @@
     fit.count()
 }
 
-/// The time steps in which lost upstreams are left out, in seconds.
+/// Resolution at which upstreams without power are subtracted from the capacity.
 const STEP_SECONDS: f64 = 0.05;
 
-/// Core-seconds, in terms of an upstream of speed 1, between two times.
+/// Core-seconds available between two times, scaled to an upstream of speed 1.
 fn capacity(scenario: &Scenario, begin: Duration, end: Duration) -> f64 {
-    let mut remaining = 0.0;
+    let mut core_seconds = 0.0;
     let mut at = begin.as_secs_f64();
     while at < end.as_secs_f64() {
         let step = STEP_SECONDS.min(end.as_secs_f64() - at);
         let elapsed = Duration::from_secs_f64((at - FIRST_ARRIVAL.as_secs_f64()).max(0.0));
-        remaining += step * available_cores(scenario, elapsed);
+        core_seconds += step * available_cores(scenario, elapsed);
         at += STEP_SECONDS;
     }
-    remaining
+    core_seconds
 }
 
 fn available_cores(scenario: &Scenario, at: Duration) -> f64 {
--- a/crates/cassiarock-lab/src/caller.rs
+++ b/crates/cassiarock-lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: who comes when, with which job, and for how long they wait.
+//! Callers of a run: time of arrival, job and patience.
 
 use crate::sample;
 use crate::scenario::{DisturbanceKind, JobKind, Scenario};
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When the first caller comes: links and reports are there by then.
+/// Time of the earliest arrival; links and reports are established by then.
 pub(crate) const FIRST_ARRIVAL: Duration = Duration::from_secs(1);
 
-/// Callers give up at three times their objective, and their patience later.
+/// Callers leave after this multiple of their objective plus the extra patience of their kind.
 const PATIENCE_FACTOR: u32 = 3;
 
 /// One caller with one job.
@@ -24,13 +24,13 @@
     pub(crate) class: Arc<JobClass>,
     /// How long each task runs on an upstream of speed 1.
     pub(crate) runs: Vec<Duration>,
-    /// Up to when an answer is in time, from `at`.
+    /// Time from `at` within which an answer is in time.
     pub(crate) objective: Duration,
-    /// How long the caller waits.
+    /// How long the caller waits for an answer.
     pub(crate) patience: Duration,
-    /// Leaves that early, without an answer.
+    /// Time after which the caller leaves early, if it does.
     pub(crate) leaves_after: Option<Duration>,
-    /// The task that crashes what starts it.
+    /// Index of a task that crashes each upstream that starts it.
     pub(crate) crashing_task: Option<u32>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// All callers of a run, by time.
+/// All callers of a run, in order of arrival.
 pub(crate) fn callers(scenario: &Scenario, random: &mut ChaCha12Rng) -> Vec<Caller> {
     let mut callers = Vec::new();
     for (number, kind) in scenario.kinds.iter().enumerate() {
@@ -50,7 +50,7 @@
         let mut at = 0.0;
         loop {
             let rate = kind.rate * burst_factor(scenario, kind, at);
-            // A pause drawn at a low rate may skip the onset of a burst: it is cut there.
+            // An interval drawn at a low rate may skip the start of a burst, so it is cut at each step.
             let next = at + sample::interval(rate, random);
             let step = at + RATE_STEP_SECONDS;
             if next > step {
@@ -73,8 +73,8 @@
     callers
 }
 
-/// The rate of arrivals is looked at anew after this many seconds. Exponential pauses have no
-/// memory, so that cutting them changes nothing but the rate.
+/// Interval after which the arrival rate is evaluated again. The exponential distribution is
+/// memoryless, so cutting an interval changes nothing but the rate.
 const RATE_STEP_SECONDS: f64 = 0.1;
 
 fn burst_factor(scenario: &Scenario, kind: &JobKind, at: f64) -> f64 {
@@ -150,7 +150,7 @@
     }
 }
 
-/// How far a job's tasks differ in their run times.
+/// Maximum relative deviation of the run times of a job's tasks from the job's typical run time.
 const RUN_TIME_VARIATION: f64 = 0.15;
 
 fn entry(scenario: &Scenario, random: &mut ChaCha12Rng) -> usize {
--- a/crates/cassiarock-lab/src/error.rs
+++ b/crates/cassiarock-lab/src/error.rs
@@ -1,9 +1,9 @@
-//! What can be wrong with a scenario.
+//! Errors of loading a scenario.
 
-/// Why a scenario was not played.
+/// Why a scenario could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file is wrong. The text names file, field and remedy.
+    /// The file is invalid. The message names the file, the field and the remedy.
     #[error(transparent)]
     Settings(#[from] cassiarock_settings::Error),
 }
--- a/crates/cassiarock-lab/src/event.rs
+++ b/crates/cassiarock-lab/src/event.rs
@@ -1,4 +1,4 @@
-//! What is to happen, in its order.
+//! The simulation's events and their queue.
 
 use cassiarock_id::Process;
 use cassiarock_transient::Message;
@@ -10,35 +10,35 @@
 /// Something that happens to a process, an upstream or a caller.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// A caller comes, for the n-th time.
+    /// A caller sends its job: caller and number of the attempt, from 1.
     CallerArrives(usize, u32),
-    /// A caller leaves that came for the n-th time.
+    /// A caller disconnects that sent its job in this attempt.
     CallerLeaves(usize, u32),
-    /// A message reaches a process.
+    /// A message arrives at a process.
     Frame(Box<Frame>),
-    /// An entry does what is due.
+    /// The timer of an entry fires: entry and its incarnation.
     PollEntry(usize, u64),
-    /// An agent does what is due.
+    /// The timer of an agent fires: agent and its incarnation.
     PollAgent(usize, u64),
-    /// An agent polls its upstream, in this incarnation, and again later if it is a regular poll.
+    /// An agent, in this incarnation, polls its upstream; a regular poll schedules the next one.
     PollUpstream(usize, u64, bool),
-    /// An order reaches the upstream in this incarnation.
+    /// A start request reaches the upstream, in this incarnation of its agent.
     StartTask(usize, u64, Task),
-    /// A stop reaches the upstream in this incarnation.
+    /// A stop request reaches the upstream, in this incarnation of its agent.
     StopTask(usize, u64, Task),
-    /// A run on the upstream ends by itself, in this incarnation.
+    /// A run on the upstream ends by itself, in this incarnation of the agent.
     RunEnds(usize, u64, u64),
     /// A run crashes the upstream, in this incarnation of its agent.
     UpstreamCrashes(usize, u64, u64),
-    /// The upstream is back, in this incarnation of its agent.
+    /// A crashed upstream is back, in this incarnation of its agent.
     UpstreamRestarts(usize, u64),
-    /// A disturbance begins.
+    /// A disturbance begins, by its index in the scenario.
     DisturbanceBegins(usize),
-    /// A disturbance is over.
+    /// A disturbance ends, by its index in the scenario.
     DisturbanceEnds(usize),
 }
 
-/// A message on its way.
+/// A message in transit between two processes.
 #[derive(Clone, Debug)]
 pub(crate) struct Frame {
     pub(crate) from: Process,
@@ -46,7 +46,7 @@
     pub(crate) message: Message,
 }
 
-/// Events by time; those of one time in the order in which they were added.
+/// Priority queue of events by time; events of equal time leave in insertion order.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
--- a/crates/cassiarock-lab/src/invariants.rs
+++ b/crates/cassiarock-lab/src/invariants.rs
@@ -1,20 +1,22 @@
-//! What must hold, from what callers and upstreams see.
+//! Invariants of the service, checked from what callers and upstreams observe.
 
 use cassiarock_id::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Faults that are kept; the first ones tell enough.
+/// Violations recorded per run; later ones are dropped.
 const MAX_VIOLATIONS: usize = 20;
 
-/// Watches a run.
+/// Checks a run: a task runs at most once at a time, a job is answered once, and a job answered
+/// as not run has not run.
 #[derive(Debug, Default)]
 pub(crate) struct InvariantChecker {
-    /// How many runs of a task go on.
+    /// Number of current runs by job and task.
     running: BTreeMap<(Name, u32), u32>,
-    /// Submissions of which something has started.
+    /// Jobs of which a task has started since their last submission.
     started: BTreeSet<Name>,
-    /// Jobs whose last submission was answered as not run, and that nobody has sent since.
+    /// Jobs whose last submission was answered as not run, and that have not been sent again.
     refused: BTreeSet<Name>,
+    /// Number of answers by caller and submission.
     answered: BTreeMap<(usize, u32), u32>,
     pub(crate) violations: Vec<String>,
 }
@@ -49,7 +51,7 @@
         }
     }
 
-    /// A caller's submission was answered.
+    /// Records the answer to a caller's submission.
     pub(crate) fn record_answer(
         &mut self,
         caller: usize,
--- a/crates/cassiarock-lab/src/lib.rs
+++ b/crates/cassiarock-lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! Plays loads and disturbances against the real decisions, in virtual time.
+//! Discrete-event simulation of a deployment under load and disturbances, in virtual time.
 //!
-//! Entries and agents are the very types that the daemons run; links, upstreams and callers
-//! are modelled. The same scenario and seed play the same again.
+//! Entries and agents are the types that the daemons run; links, upstreams and callers are
+//! modelled. A scenario and a seed always give the same result.
 
 mod bound;
 mod caller;
@@ -22,7 +22,7 @@
 use cassiarock_transient::scheduler::Mechanisms;
 use rayon::prelude::*;
 
-/// Plays each seed of the scenario with these mechanisms.
+/// Simulates the scenario once per seed with the given mechanisms, seeds in parallel.
 ///
 /// ```
 /// use cassiarock_lab::{Scenario, simulate};
--- a/crates/cassiarock-lab/src/result.rs
+++ b/crates/cassiarock-lab/src/result.rs
@@ -1,95 +1,96 @@
-//! What a run showed.
+//! Results of a simulation, as JSON and as text.
 
 use cassiarock_id::Name;
 use serde::Serialize;
 use std::fmt;
 
-/// What callers of one kind of jobs got. Shares are of those who did not leave by themselves.
+/// Outcomes of the callers of one kind of jobs. Callers who left early by themselves are left
+/// out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct KindResult {
-    /// The kind.
+    /// Name of the kind.
     pub name: Name,
-    /// Callers who did not leave by themselves.
+    /// Number of counted callers.
     pub asked: u64,
     /// Answered in time.
     pub in_time: u64,
-    /// Answered later.
+    /// Answered late.
     pub late: u64,
-    /// Told that nothing ran and when to come back.
+    /// Refused: nothing ran, and the answer says when to try again.
     pub refused: u64,
     /// Given up after tasks had run.
     pub given_up: u64,
     /// Answered as failed.
     pub failed: u64,
-    /// Left at the end of their patience.
+    /// Left unanswered at the end of their patience.
     pub unanswered: u64,
 }
 
-/// One seed's run.
+/// Results of the run of one seed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SeedResult {
     /// The seed.
     pub seed: u64,
-    /// By kind.
+    /// Outcomes by kind.
     pub kinds: Vec<KindResult>,
     /// The share answered in time.
     pub in_time: f64,
-    /// The share that any scheduler could at most have answered in time.
+    /// Upper bound on the share that any scheduler could have answered in time.
     #[serde(rename = "bound")]
     pub in_time_bound: f64,
-    /// What it is worth by the users' weights, prices left out.
+    /// Score by the scenario's weights; resource prices are not included.
     pub worth: f64,
-    /// The share that got no answer of use.
+    /// The share that got no useful answer.
     pub unserved: f64,
     /// The share answered in time, by second of arrival.
     #[serde(rename = "seconds")]
     pub in_time_by_second: Vec<f64>,
-    /// The share of the upstreams' work that no caller got an answer for.
+    /// The share of the upstreams' work that led to no answer.
     #[serde(rename = "thrown")]
     pub wasted_work: f64,
     /// Time to a refusal, in ms: median and 99th percentile.
     pub refusal_ms: (f64, f64),
-    /// Frames between entries and agents for each task started, heartbeats left out.
+    /// Messages between entries and agents per task started, without heartbeats.
     #[serde(rename = "frames")]
     pub frames_per_task: f64,
-    /// Jain's index of the shares answered in time, over kinds.
+    /// Jain's fairness index of the shares answered in time, over kinds.
     #[serde(rename = "fair_kinds")]
     pub kind_fairness: f64,
-    /// The same over entries.
+    /// Jain's fairness index of the shares answered in time, over entries.
     #[serde(rename = "fair_entries")]
     pub entry_fairness: f64,
-    /// The most unanswered jobs at one entry.
+    /// Maximum number of unanswered jobs at one entry.
     #[serde(rename = "queue")]
     pub max_queue: usize,
-    /// Upstreams that tasks have crashed.
+    /// Upstream crashes caused by tasks.
     pub crashes: u64,
-    /// Promises that were broken.
+    /// Violated invariants.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
-/// All seeds of a scenario; shares are means.
+/// Results of all seeds of a scenario; shares are means over the seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ScenarioResult {
     /// The share answered in time.
     pub in_time: f64,
-    /// The share that any scheduler could at most have answered in time.
+    /// Upper bound on the share that any scheduler could have answered in time.
     #[serde(rename = "bound")]
     pub in_time_bound: f64,
-    /// What it is worth by the users' weights, prices left out.
+    /// Score by the scenario's weights; resource prices are not included.
     pub worth: f64,
-    /// How far the worth of the seeds is from their mean: its standard deviation.
+    /// Standard deviation of `worth` over the seeds.
     #[serde(rename = "scatter")]
     pub worth_deviation: f64,
-    /// The share that got no answer of use.
+    /// The share that got no useful answer.
     pub unserved: f64,
-    /// The share of the upstreams' work that no caller got an answer for.
+    /// The share of the upstreams' work that led to no answer.
     #[serde(rename = "thrown")]
     pub wasted_work: f64,
-    /// Promises that were broken, with their seed.
+    /// Violated invariants, with their seed.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
-    /// By seed.
+    /// Results by seed.
     pub seeds: Vec<SeedResult>,
 }
 
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The sums over seeds, by kind.
+    /// Outcomes by kind, summed over the seeds.
     #[must_use]
     pub fn totals_by_kind(&self) -> Vec<KindResult> {
         let mut sums: Vec<KindResult> = Vec::new();
@@ -149,7 +150,7 @@
     }
 }
 
-/// Jain's index: 1 if all are alike, 1 over their number if one has all.
+/// Jain's fairness index: 1 if all shares are equal, 1/n if one of n has everything.
 pub(crate) fn jain(shares: &[f64]) -> f64 {
     let sum: f64 = shares.iter().sum();
     let squares: f64 = shares.iter().map(|share| share * share).sum();
--- a/crates/cassiarock-lab/src/sample.rs
+++ b/crates/cassiarock-lab/src/sample.rs
@@ -1,4 +1,4 @@
-//! Draws from distributions.
+//! Samples from probability distributions.
 
 use crate::scenario::{DurationDistribution, ValueDistribution};
 use rand::RngExt;
@@ -6,11 +6,11 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use std::time::Duration;
 
-/// A log-normal draw with this mean and this deviation in terms of it.
+/// A log-normal sample; `spread` is the standard deviation relative to the mean.
 fn log_normal(mean: f64, spread: f64, random: &mut ChaCha12Rng) -> f64 {
     let variance = (1.0 + spread * spread).ln();
     let centre = mean.ln() - variance / 2.0;
-    // Mean and spread have been checked to be finite; without spread it is the mean.
+    // Mean and spread were validated as finite; without spread the sample is the mean.
     LogNormal::new(centre, variance.sqrt()).map_or(mean, |distribution| distribution.sample(random))
 }
 
@@ -23,13 +23,13 @@
     Duration::from_secs_f64(seconds.clamp(0.001, 3_600.0))
 }
 
-/// The pause until the next of events that come at this rate, in seconds.
+/// The time in seconds to the next event of a Poisson process of this rate.
 pub(crate) fn interval(rate: f64, random: &mut ChaCha12Rng) -> f64 {
-    // A rate of nothing brings nothing.
+    // At rate 0 no event ever comes.
     Exp::new(rate).map_or(f64::INFINITY, |distribution| distribution.sample(random))
 }
 
-/// A factor that is off 1 by up to this share, either way.
+/// A factor uniform within this share of 1, but at least 0.05.
 pub(crate) fn error_factor(share: f64, random: &mut ChaCha12Rng) -> f64 {
     (1.0 + random.random_range(-1.0..1.0) * share).max(0.05)
 }
--- a/crates/cassiarock-lab/src/scenario.rs
+++ b/crates/cassiarock-lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What is played: a deployment, its callers and what happens to it.
+//! The scenario to simulate: a deployment, its callers and its disturbances.
 
 use crate::Error;
 use cassiarock_id::Name;
@@ -10,18 +10,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A scenario, as its file gives it. Commented examples stand in `settings/lab`.
+/// A scenario as read from its file. `settings/lab` holds commented examples.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// How long callers come.
+    /// How long callers arrive.
     #[serde_as(as = "Time")]
     pub length: Duration,
-    /// Each seed is one run.
+    /// Seeds; each is one run.
     #[serde(default = "one_seed")]
     pub seeds: Vec<u64>,
-    /// One way, between processes of different data centres; 0.1 ms within one.
+    /// One-way latency between processes of different data centres; within one it is 0.1 ms.
     #[serde(default = "Scenario::cross_data_centre_latency")]
     #[serde_as(as = "Time")]
     #[serde(rename = "across")]
@@ -32,29 +32,29 @@
     pub upstreams: Vec<UpstreamGroup>,
     /// The kinds of jobs.
     pub kinds: Vec<JobKind>,
-    /// What happens.
+    /// Faults and load changes during the run.
     #[serde(default)]
     pub disturbances: Vec<Disturbance>,
-    /// What users weigh.
+    /// Weights of the score.
     #[serde(default)]
     pub weights: Weights,
 }
 
-/// How users weigh what callers get.
+/// Weights of the parts of a run's score (`worth`).
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// What was earned over the whole run.
+    /// Weight of the share of worth earned over the whole run.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// The share served at all, counted in nines.
+    /// Weight of the share served at all, on a logarithmic scale (number of nines).
     pub served: f64,
-    /// What was earned in the worst seconds.
+    /// Weight of the share of worth earned in the worst time windows.
     #[serde(rename = "windows")]
     pub worst_windows: f64,
-    /// What was earned by the worst-served kind.
+    /// Weight of the share of worth earned by the worst-served kind.
     pub worst_kind: f64,
-    /// The share not served that counts as none.
+    /// Unserved share at or below which the `served` part is complete.
     #[serde(rename = "served_best")]
     pub unserved_floor: f64,
 }
@@ -71,182 +71,183 @@
     }
 }
 
-/// An entry.
+/// An entry, the process that accepts callers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Where it is.
+    /// Data centre of the entry.
     pub data_centre: Name,
-    /// Its part of the callers, in terms of the others'.
+    /// Its share of the callers, relative to the other entries' shares.
     #[serde(default = "one")]
     pub share: f64,
 }
 
-/// Upstreams that are alike.
+/// A group of identical upstreams.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamGroup {
-    /// Where they are.
+    /// Data centre of the upstreams.
     pub data_centre: Name,
-    /// How many.
+    /// Number of upstreams.
     pub count: usize,
-    /// Their cores.
+    /// Cores of each upstream.
     pub cores: f64,
-    /// Their memory.
+    /// Memory of each upstream.
     pub memory_mib: u64,
-    /// How fast they work; tasks take this many times less.
+    /// Speed factor: run times are divided by it.
     #[serde(default = "one")]
     pub speed: f64,
 }
 
-/// Jobs of one queue.
+/// Load and requirements of the jobs of one queue.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobKind {
-    /// The queue's name.
+    /// Name of the queue.
     pub name: Name,
-    /// Jobs a second.
+    /// Jobs per second.
     pub rate: f64,
-    /// Tasks of a job.
+    /// Tasks per job.
     #[serde(rename = "tasks")]
     pub task_count: ValueDistribution,
-    /// How long a task runs.
+    /// Run time of a task on an upstream of speed 1.
     pub run_time: DurationDistribution,
-    /// Cores of a task.
+    /// Cores per task.
     pub cores: ValueDistribution,
-    /// Memory of a task.
+    /// Memory per task.
     #[serde(default = "JobKind::memory_mib")]
     pub memory_mib: u64,
-    /// How far callers' estimates of run times are off, as a share.
+    /// Maximum relative error of callers' run time estimates.
     #[serde(default)]
     #[serde(rename = "estimate_off")]
     pub estimate_error: f64,
-    /// An answer is in time up to this many times the job's longest task, ...
+    /// An answer is in time within this multiple of the job's longest task plus
+    /// `target_latency`.
     #[serde(rename = "slack")]
     pub slack_factor: f64,
-    /// ... and this much more.
+    /// Time added to the multiple of the longest task, see `slack_factor`.
     #[serde_as(as = "Time")]
     #[serde(rename = "target")]
     pub target_latency: Duration,
-    /// 0 goes first.
+    /// Priority; 0 is the most urgent.
     #[serde(default)]
     pub priority: u32,
-    /// How often a task may fail.
-    /// The share of its jobs of which one task crashes each upstream that starts it.
+    /// Share of jobs with one task that crashes each upstream that starts it.
     #[serde(default)]
     #[serde(rename = "crashing")]
     pub crash_share: f64,
+    /// Maximum number of attempts per task.
     #[serde(default = "JobKind::max_attempts")]
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// Callers wait three times as long as an answer is in time, and this much more.
+    /// Callers wait for three times the objective plus this time.
     #[serde(default = "JobKind::extra_patience")]
     #[serde_as(as = "Time")]
     #[serde(rename = "patience")]
     pub extra_patience: Duration,
-    /// What an answer in time is worth.
+    /// Worth of an answer in time.
     #[serde(default = "one")]
     pub worth: f64,
-    /// What a later one is worth.
+    /// Worth of a late answer.
     #[serde(default = "JobKind::late_worth")]
     pub late_worth: f64,
 }
 
-/// A quantity: its mean, its deviation as a share of the mean, and its bound.
+/// Log-normal distribution of a quantity, cut off at a maximum.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ValueDistribution {
-    /// The mean.
+    /// Mean of the distribution before the cut-off.
     pub mean: f64,
-    /// The standard deviation, in terms of the mean.
+    /// Standard deviation relative to the mean.
     #[serde(default)]
     #[serde(rename = "spread")]
     pub relative_deviation: f64,
-    /// No more than this.
+    /// Upper limit of samples.
     #[serde(default = "unbounded")]
     #[serde(rename = "most")]
     pub max: f64,
 }
 
-/// A duration: its mean and its deviation as a share of the mean.
+/// Log-normal distribution of a duration.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DurationDistribution {
-    /// The mean.
+    /// Mean of the distribution before the cut-off.
     #[serde_as(as = "Time")]
     pub mean: Duration,
-    /// The standard deviation, in terms of the mean.
+    /// Standard deviation relative to the mean.
     #[serde(default)]
     #[serde(rename = "spread")]
     pub relative_deviation: f64,
 }
 
-/// What happens.
+/// A fault or load change during part of the run.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Disturbance {
-    /// When, from the first caller.
+    /// Start, counted from the first arrival.
     #[serde_as(as = "Time")]
     #[serde(rename = "at")]
     pub start: Duration,
-    /// For how long.
+    /// How long it lasts.
     #[serde(rename = "for")]
     #[serde_as(as = "Time")]
     pub duration: Duration,
-    /// What.
+    /// The type of disturbance.
     #[serde(rename = "what")]
     pub kind: DisturbanceKind,
-    /// Which upstreams, counted from 0; all of them if none is named.
+    /// Indices of the affected upstreams, from 0; empty means all.
     #[serde(default)]
     pub upstreams: Vec<usize>,
-    /// How much: times the rate, times the run time, or the share.
+    /// Strength: multiplier of the arrival rate or the run time, or affected share.
     #[serde(default = "one")]
     pub factor: f64,
-    /// Which kind of jobs; all of them if none is named.
+    /// The affected kind of jobs; all kinds if absent.
     #[serde(default)]
     #[serde(rename = "kind")]
     pub job_kind: Option<Name>,
-    /// Which data centre is emptied.
+    /// The data centre that is evacuated.
     #[serde(default)]
     pub data_centre: Option<Name>,
 }
 
-/// What can happen.
+/// Types of disturbances.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum DisturbanceKind {
-    /// More callers come.
+    /// The arrival rate is multiplied by the factor.
     Burst,
-    /// Upstreams work slower.
+    /// Run times on the upstreams are multiplied by the factor.
     Slow,
-    /// Upstreams fail a share of what they start, fast.
+    /// Upstreams fail a share of the tasks that they start, in a fraction of the run time.
     Failing,
-    /// Tasks that start on the upstreams stand still.
+    /// Tasks that start on the upstreams hang.
     Hanging,
     /// Upstreams and their agents lose power.
     Lost,
     /// All entries, agents and upstreams lose power.
     AllLost,
-    /// A share of the callers leaves within their objective.
+    /// A share of the callers disconnects before the end of their objective.
     Leaving,
-    /// Operators empty a data centre, and take that back at the end.
+    /// Operators evacuate a data centre and revoke the evacuation at the end.
     Emptied,
 }
 
 impl Scenario {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// With file, field and remedy.
+    /// If the scenario is invalid; the message names file, field and remedy.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Error> {
         let path = path.as_ref();
         Self::parse(&read::text(path)?, &path.display().to_string())
     }
 
-    /// Parses and checks a text; `file` is named in errors.
+    /// Parses and validates a text; errors name `file`.
     ///
     /// ```
     /// use cassiarock_lab::Scenario;
@@ -255,7 +256,7 @@
     /// ```
     ///
     /// # Errors
-    /// With file, field and remedy.
+    /// If the scenario is invalid; the message names file, field and remedy.
     pub fn parse(text: &str, file: &str) -> Result<Self, Error> {
         let scenario: Self = read::parse(text, file)?;
         scenario
@@ -265,7 +266,7 @@
         Ok(scenario)
     }
 
-    /// How many upstreams there are.
+    /// Number of upstreams in all groups.
     #[must_use]
     pub fn upstream_count(&self) -> usize {
         self.upstreams.iter().map(|group| group.count).sum()
@@ -379,17 +380,17 @@
         Ok(())
     }
 
-    /// Whether it goes on at this time.
+    /// Whether the disturbance is in effect at this time since the first arrival.
     pub(crate) fn is_active(&self, at: Duration) -> bool {
         (self.start..self.start + self.duration).contains(&at)
     }
 
-    /// Whether it concerns this upstream.
+    /// Whether the disturbance affects this upstream.
     pub(crate) fn affects_upstream(&self, upstream: usize) -> bool {
         self.upstreams.is_empty() || self.upstreams.contains(&upstream)
     }
 
-    /// Whether it concerns jobs of this kind.
+    /// Whether the disturbance affects jobs of this kind.
     pub(crate) fn affects_kind(&self, kind: &Name) -> bool {
         self.job_kind.as_ref().is_none_or(|name| name == kind)
     }
--- a/crates/cassiarock-lab/src/score.rs
+++ b/crates/cassiarock-lab/src/score.rs
@@ -1,21 +1,21 @@
-//! What a run is worth to its users: the parts that they weigh.
+//! The weighted score of a run (`worth`).
 
 use crate::Scenario;
 use crate::scenario::{JobKind, Weights};
 
-/// The width of the windows that are compared, in seconds.
+/// Width of the time windows that are compared.
 const WINDOW_SECONDS: usize = 2;
 
-/// How many of the worst windows count.
+/// Number of worst windows that are averaged.
 const WORST_WINDOWS: usize = 2;
 
-/// The share of a job's worth that does not grow with its work.
+/// Share of a job's worth that is independent of its work.
 const FIXED_SHARE: f64 = 0.3;
 
-/// A job is worth at most this many times the mean of its kind.
+/// Upper limit of a job's worth, as a multiple of the mean of its kind.
 const MAX_SIZE: f64 = 4.0;
 
-/// What was earned of what was owed.
+/// Worth earned, and the worth had all jobs been answered in time (`owed`).
 #[derive(Clone, Copy, Debug, Default)]
 struct Earnings {
     earned: f64,
@@ -28,7 +28,7 @@
         self.earned += earned;
     }
 
-    /// The share earned; all of nothing.
+    /// The share earned; 1 if nothing was owed.
     fn share(self) -> f64 {
         if self.owed == 0.0 {
             return 1.0;
@@ -37,7 +37,7 @@
     }
 }
 
-/// How a job was answered.
+/// How a job counts in the score.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Outcome {
     InTime,
@@ -45,7 +45,7 @@
     Unserved,
 }
 
-/// What jobs earned, by all that users weigh.
+/// Accumulates what jobs earn: over the run, by kind and by time window.
 #[derive(Debug)]
 pub(crate) struct Scorer<'a> {
     scenario: &'a Scenario,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Counts a job of this kind that came in this second, of `size` in terms of the mean work
-    /// of its kind.
+    /// Counts a job of this kind that arrived in this second. `size` is its work relative to
+    /// the mean of its kind.
     pub(crate) fn add(&mut self, kind: usize, second: usize, size: f64, outcome: Outcome) {
         let owed = self.scenario.kinds[kind].worth
             * (FIXED_SHARE + (1.0 - FIXED_SHARE) * size).min(MAX_SIZE);
@@ -86,12 +86,12 @@
         self.unserved += u64::from(outcome == Outcome::Unserved);
     }
 
-    /// The share of callers that got no answer of use.
+    /// The share of callers that got no useful answer.
     pub(crate) fn unserved(&self) -> f64 {
         self.unserved as f64 / self.asked.max(1) as f64
     }
 
-    /// The parts, weighed.
+    /// The weighted sum of the parts.
     pub(crate) fn worth(&self) -> f64 {
         let Weights {
             overall,
--- a/crates/cassiarock-lab/src/simulation/agents.rs
+++ b/crates/cassiarock-lab/src/simulation/agents.rs
@@ -11,39 +11,39 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// A call between an agent and its upstream.
+/// Latency of a call between an agent and its upstream.
 const CALL_LATENCY: Duration = Duration::from_micros(300);
 
-/// How soon a task crashes what started it.
+/// Time from the start of a crashing task to the crash of its upstream.
 const CRASH_DELAY: Duration = Duration::from_millis(5);
 
-/// How long an upstream is away that has crashed.
+/// How long a crashed upstream is down.
 const RESTART_TIME: Duration = Duration::from_secs(3);
 
-/// The pause between two regular polls.
+/// Interval of regular polls of an upstream.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long a stop takes.
+/// Time that a stop takes.
 const STOP_LATENCY: Duration = Duration::from_millis(20);
 
-/// A failing upstream fails a task in this part of its run time.
+/// Share of its run time after which a task fails on a failing upstream.
 const FAILURE_RUN_TIME_SHARE: f64 = 0.1;
 
-/// The longest pause between two polls of an agent.
+/// Longest interval between two timer events of an agent.
 const MAX_AGENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Entries that an agent links to, as agents do in large systems.
+/// Number of entries that an agent links to, as in large systems.
 const LINKS_PER_AGENT: usize = 12;
 
-/// An agent in its present incarnation, with its upstream.
+/// The current incarnation of an agent, with its upstream.
 pub(super) struct Agent {
     pub(super) host: Host,
     pub(super) process: Process,
     pub(super) upstream: Upstream,
     pub(super) is_up: bool,
-    /// Whether its upstream has crashed and is not back yet.
+    /// Whether its upstream has crashed and not restarted yet.
     is_upstream_down: bool,
-    /// How often its upstream has started.
+    /// Number of starts of its upstream.
     upstream_starts: u64,
     pub(super) data_centre: Name,
     cores: f64,
@@ -52,7 +52,7 @@
 }
 
 impl Agent {
-    /// The incarnation of its upstream.
+    /// The current incarnation of its upstream.
     fn upstream_incarnation(&self) -> Incarnation {
         self.host
             .worker()
@@ -89,7 +89,7 @@
         agent.process = Process::new(agent.process.name.clone(), incarnation);
         agent.is_up = true;
         agent.host = Host::new();
-        // It has said nothing yet, and has nobody to tell.
+        // The new agent has no links yet, so there is nothing to send.
         let _ = agent
             .host
             .set_evacuated(self.evacuations.contains(&agent.data_centre));
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The upstream reports for the first time in a incarnation of its own.
+    /// Hands the agent the first report of a new incarnation of its upstream.
     fn report_upstream(&mut self, number: usize) {
         let agent = &mut self.agents[number];
         agent.upstream_starts += 1;
@@ -124,7 +124,7 @@
         self.execute_agent_actions(number, actions);
     }
 
-    /// Links an agent to an entry, if the entry is among those that it links to.
+    /// Links an agent to an entry if the entry is one of the `LINKS_PER_AGENT` that it links to.
     pub(super) fn link(&mut self, number: usize, entry: usize) {
         let entries = self.entries.len();
         let distance = (entry + entries - number % entries) % entries;
@@ -196,7 +196,7 @@
         if agent.is_upstream_down {
             return;
         }
-        // The lease itself is not modelled: what runs ends with the upstream or its agent.
+        // The lease is not modelled: runs end with the upstream or its agent.
         let _ = agent.host.renew_leases(self.now);
         let upstream = agent.upstream_incarnation();
         let seen = agent.host.last_seen_end(self.now);
@@ -278,7 +278,7 @@
         self.execute_agent_actions(number, actions);
     }
 
-    /// How a task ends that starts now, and after how long; never if it stands still.
+    /// The outcome and run time of a task that starts now; a hanging task has no run time.
     fn planned_outcome(
         &mut self,
         number: usize,
@@ -310,8 +310,7 @@
         (Outcome::Done, Some(run_time))
     }
 
-    /// A run crashes the upstream: all that runs there is lost, and it answers nothing until it is
-    /// back.
+    /// A run crashes the upstream: all its runs are lost, and it answers no calls until its restart.
     pub(super) fn crash_upstream(&mut self, number: usize, incarnation: u64, run: u64) {
         if !self.is_current_incarnation(number, incarnation)
             || !self.agents[number].upstream.has_run(run)
@@ -376,7 +375,7 @@
         );
     }
 
-    /// A run is over, however it ended.
+    /// Records that a run is over, however it ended.
     fn record_run_end(&mut self, run: &Run) {
         self.invariants
             .record_end(&run.task.job, run.task.attempt.index);
--- a/crates/cassiarock-lab/src/simulation/callers.rs
+++ b/crates/cassiarock-lab/src/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! The callers of a run: they come, wait, leave, and come back.
+//! The callers of a run: they arrive, wait, leave and reconnect.
 
 use super::Simulation;
 use crate::event::Event;
@@ -6,10 +6,10 @@
 use cassiarock_transient::scheduler::Answer;
 use std::time::Duration;
 
-/// When a caller comes again whose connection was not taken.
+/// Delay until a caller retries whose connection was not accepted.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// When a caller comes again whose connection broke.
+/// Delay until a caller sends its job again after its connection broke.
 const RECONNECT_DELAY: Duration = Duration::from_millis(1_300);
 
 impl Simulation<'_> {
@@ -76,7 +76,7 @@
             .record_answer(number, &self.callers[number], answer, self.now);
     }
 
-    /// The connections of an entry's callers break: they come again.
+    /// Breaks the connections of an entry's waiting callers, who then send their jobs again.
     pub(super) fn reconnect_callers(&mut self, entry: usize) {
         let open: Vec<(usize, u32)> = self
             .submissions
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Whose job this is.
+    /// The caller whose job this is.
     pub(super) fn find_caller(&self, job: &Name) -> Option<usize> {
         let number = usize::from_str_radix(job, 16).ok()?;
         (number < self.callers.len()).then_some(number)
--- a/crates/cassiarock-lab/src/simulation/emptying.rs
+++ b/crates/cassiarock-lab/src/simulation/emptying.rs
@@ -1,4 +1,4 @@
-//! Operators empty data centres.
+//! Evacuation of data centres by operators.
 
 use super::Simulation;
 use crate::caller::FIRST_ARRIVAL;
@@ -6,7 +6,7 @@
 use cassiarock_transient::evacuation::State;
 
 impl Simulation<'_> {
-    /// Tells all processes which data centres are being emptied now.
+    /// Hands all processes the set of data centres that are evacuated now.
     pub(super) fn update_evacuations(&mut self) {
         let at = self.now - FIRST_ARRIVAL;
         let active = self.scenario.disturbances.iter();
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Checks that an agent that orders a start is in no data centre that is being emptied.
+    /// Checks that an agent that requests a start is in no evacuated data centre.
     pub(super) fn check_evacuation(&mut self, number: usize) {
         let agent = &self.agents[number];
         if self.evacuations.contains(&agent.data_centre) {
--- a/crates/cassiarock-lab/src/simulation/entries.rs
+++ b/crates/cassiarock-lab/src/simulation/entries.rs
@@ -1,4 +1,4 @@
-//! The entries of a run.
+//! The entries of a run: start, power loss, timers and messages.
 
 use super::{ProcessKind, Simulation};
 use crate::event::{Event, Frame};
@@ -7,12 +7,12 @@
 use cassiarock_transient::scheduler::Action;
 use std::time::Duration;
 
-/// An entry in its present incarnation.
+/// The current incarnation of an entry.
 pub(super) struct Entry {
     pub(super) scheduler: Scheduler,
     pub(super) process: Process,
     pub(super) is_up: bool,
-    /// What it had learned of callers is on record for its next incarnation.
+    /// Callers' patience by route as learned so far, which the next incarnation takes over.
     learned: Vec<(Name, Duration)>,
 }
 
--- a/crates/cassiarock-lab/src/simulation/mod.rs
+++ b/crates/cassiarock-lab/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! One run: entries and agents as they are, everything around them modelled.
+//! One simulation run: real entries and agents, with modelled links, upstreams and callers.
 
 mod agents;
 mod callers;
@@ -23,20 +23,20 @@
 use std::time::Duration;
 use tally::Tally;
 
-/// One way between processes of one data centre.
+/// One-way latency between processes of one data centre.
 const LOCAL_LATENCY: Duration = Duration::from_micros(100);
 
-/// How long after the last caller everything has to be over.
+/// Time after the last arrival by which all work has to be finished.
 const DRAIN_TIME: Duration = Duration::from_secs(15);
 
-/// Who a process is.
+/// A process of the simulation, by its index.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ProcessKind {
     Entry(usize),
     Agent(usize),
 }
 
-/// A run in progress.
+/// State of a run.
 struct Simulation<'a> {
     scenario: &'a Scenario,
     mechanisms: Mechanisms,
@@ -47,16 +47,16 @@
     entries: Vec<Entry>,
     agents: Vec<Agent>,
     callers: Vec<Caller>,
-    /// Whose a submission is: the caller, and which one of theirs.
+    /// Caller and attempt of each submission.
     submissions: HashMap<u64, (usize, u32)>,
-    /// What operators order of data centres, as all processes know it.
+    /// The operators' evacuations, which all processes know at once.
     evacuations: evacuation::State,
     invariants: InvariantChecker,
     tally: Tally,
     random: ChaCha12Rng,
 }
 
-/// Plays one seed.
+/// Simulates the scenario with one seed.
 pub(crate) fn run_seed(scenario: &Scenario, mechanisms: Mechanisms, seed: u64) -> SeedResult {
     let mut random = ChaCha12Rng::seed_from_u64(seed);
     let callers = callers(scenario, &mut random);
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Sends a message; what is sent to a incarnation that has ended by then is lost.
+    /// Sends a message. It is lost if the receiving incarnation has ended when it arrives.
     fn send(&mut self, from: Process, to: Process, message: Message) {
         let is_heartbeat = matches!(
             message,
@@ -249,7 +249,7 @@
             .collect()
     }
 
-    /// Nothing is left over once all callers are gone.
+    /// Checks that no job, attempt or run is left once all callers are gone.
     fn check_leftovers(&mut self) {
         for entry in &self.entries {
             let jobs = entry.scheduler.job_count();
--- a/crates/cassiarock-lab/src/simulation/tally.rs
+++ b/crates/cassiarock-lab/src/simulation/tally.rs
@@ -1,4 +1,4 @@
-//! What callers got.
+//! Counts outcomes of callers and work of upstreams.
 
 use crate::caller::{Caller, FIRST_ARRIVAL};
 use crate::result::{KindResult, SeedResult, jain};
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How a caller fared.
+/// How a caller's request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum CallerOutcome {
     InTime,
@@ -21,22 +21,23 @@
     Unanswered,
 }
 
-/// The counts of a run.
+/// Counters of a run.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
     outcomes: HashMap<usize, (CallerOutcome, Duration)>,
-    /// Messages between entries and agents, heartbeats left out.
+    /// Messages between entries and agents, without heartbeats.
     pub(super) frames: u64,
     /// Tasks started on upstreams.
     pub(super) started: u64,
-    /// Upstreams that a task has crashed.
+    /// Upstream crashes caused by tasks.
     pub(super) crashes: u64,
     /// Core-seconds of all runs.
     pub(super) work: f64,
-    /// Core-seconds of a job's tasks that are done.
+    /// Core-seconds of the finished tasks, by job.
     pub(super) done: BTreeMap<Name, f64>,
-    /// Core-seconds of jobs whose callers got an answer.
+    /// Core-seconds of completed jobs.
     useful: f64,
+    /// Maximum number of unanswered jobs at one entry.
     pub(super) max_queue: usize,
 }
 
@@ -83,12 +84,13 @@
             .collect();
         let mut seconds = vec![(0_u64, 0_u64); scenario.length.as_secs_f64().ceil() as usize];
         let mut entries = vec![(0_u64, 0_u64); scenario.entries.len()];
-        // Three digits of times up to ten minutes; the bounds are constants that it takes.
-        let mut measure = Scorer::new(scenario);
+        let mut scorer = Scorer::new(scenario);
         let means = mean_work(scenario, callers);
+        // Times to ten minutes in ms, to three digits. `ok` drops no error: the bounds are valid
+        // constants.
         let mut refusals = Histogram::<u64>::new_with_bounds(1, 600_000, 3).ok();
         let counted = callers.iter().enumerate();
-        // A job that crashes upstreams can be done nowhere.
+        // A job that crashes upstreams can't be completed anywhere.
         let counted = counted
             .filter(|(_, caller)| caller.leaves_after.is_none() && caller.crashing_task.is_none());
         for (number, caller) in counted {
@@ -97,7 +99,7 @@
             count(&mut kinds[caller.kind], outcome);
             let second = (caller.at - FIRST_ARRIVAL).as_secs() as usize;
             let size = caller.work() / means[caller.kind].max(f64::MIN_POSITIVE);
-            measure.add(caller.kind, second, size, outcome.score_outcome());
+            scorer.add(caller.kind, second, size, outcome.score_outcome());
             for (asked, in_time) in [&mut seconds[second], &mut entries[caller.entry]] {
                 *asked += 1;
                 *in_time += is_in_time;
@@ -137,8 +139,8 @@
             ),
             max_queue: self.max_queue,
             crashes: self.crashes,
-            worth: measure.worth(),
-            unserved: measure.unserved(),
+            worth: scorer.worth(),
+            unserved: scorer.unserved(),
             kinds,
             ..SeedResult::default()
         }
@@ -160,7 +162,7 @@
     }
 }
 
-/// The mean work of a job, by kind.
+/// Mean work of a job by kind, in core-seconds.
 fn mean_work(scenario: &Scenario, callers: &[Caller]) -> Vec<f64> {
     let mut sums = vec![(0.0, 0_u64); scenario.kinds.len()];
     for caller in callers {
@@ -184,7 +186,7 @@
     } += 1;
 }
 
-/// The share of those who asked; all of none.
+/// The share of those who asked; 1 if nobody asked.
 fn share(got: u64, asked: u64) -> f64 {
     if asked == 0 {
         1.0
--- a/crates/cassiarock-lab/src/upstream.rs
+++ b/crates/cassiarock-lab/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A modelled upstream: it guards its room, and runs what it is told.
+//! A modelled upstream: it runs the tasks that it is given and refuses those beyond its capacity.
 
 use cassiarock_id::Name;
 use cassiarock_transient::host::{AttemptKey, Snapshot, StartResponse, Task};
@@ -7,17 +7,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A run on an upstream.
+/// The run of a task on an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) task: Task,
     pub(crate) demand: Resources,
     pub(crate) started_at: Duration,
-    /// How it is going to end.
+    /// The outcome with which it ends unless it is stopped.
     pub(crate) end: Outcome,
 }
 
-/// One upstream in one incarnation.
+/// One incarnation of an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
     pub(crate) capacity: Resources,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Starts a task if there is room. Gives the run's number.
+    /// Starts a task if the free capacity suffices, and returns the number of its run.
     pub(crate) fn start(&mut self, run: Run) -> Result<u64, StartResponse> {
         let used = self.runs.values();
         let used = used.fold(Resources::default(), |sum, run| {
@@ -52,19 +52,19 @@
         Ok(self.started)
     }
 
-    /// Whether the run with this number is there.
+    /// Whether the run with this number is in progress.
     pub(crate) fn has_run(&self, number: u64) -> bool {
         self.runs.contains_key(&number)
     }
 
-    /// A run end_count by itself.
+    /// Ends a run with its planned outcome.
     pub(crate) fn end(&mut self, number: u64) -> Option<Run> {
         let run = self.runs.remove(&number)?;
         self.push_ended(run.task.clone(), run.end);
         Some(run)
     }
 
-    /// A run is stopped.
+    /// Stops the run of a task.
     pub(crate) fn stop(&mut self, task: &Task) -> Option<Run> {
         let found = self.runs.iter().find(|(_, run)| run.task == *task);
         let number = found.map(|(number, _)| *number)?;
@@ -78,7 +78,7 @@
         self.ended.push((self.end_count, task, end));
     }
 
-    /// What an agent sees that has taken the end_count up to `seen`.
+    /// The snapshot for an agent that has processed the ends up to number `seen`.
     pub(crate) fn snapshot(
         &mut self,
         incarnation: Incarnation,
@@ -108,13 +108,13 @@
         }
     }
 
-    /// A new incarnation: its end_count are numbered anew.
+    /// Begins a new incarnation, which numbers its ends from 1 again.
     pub(crate) fn restart(&mut self) {
         self.ended.clear();
         self.end_count = 0;
     }
 
-    /// Everything end_count with the upstream's power.
+    /// Ends all runs without listing them, as in a power loss or a crash.
     pub(crate) fn abort_all(&mut self) -> Vec<Run> {
         std::mem::take(&mut self.runs).into_values().collect()
     }
