--- a/crates/cassiarock-lab/src/invariants.rs
+++ b/crates/cassiarock-lab/src/invariants.rs
@@ -6,8 +6,8 @@
 /// Violations recorded per run; later ones are dropped.
 const MAX_VIOLATIONS: usize = 20;
 
-/// Checks a run: a task runs at most once at a time, a job is answered once, and a job answered
-/// as not run has not run.
+/// Checks a run: a task runs at most once at a time, a submission is answered once, and a
+/// job answered as not run has not run and does not start afterwards.
 #[derive(Debug, Default)]
 pub(crate) struct InvariantChecker {
     /// Number of current runs by job and task.
--- a/crates/cassiarock-lab/src/lib.rs
+++ b/crates/cassiarock-lab/src/lib.rs
@@ -35,9 +35,9 @@
 ///         "cores": { "mean": 6 }, "slack": 1.6, "target": "60ms" }],
 /// }"#;
 /// let scenario = Scenario::parse(text, "small.jsonc").map_err(std::io::Error::other)?;
-/// let figures = simulate(&scenario, Mechanisms::default());
-/// assert!(figures.violations.is_empty());
-/// assert!(figures.in_time > 0.9);
+/// let result = simulate(&scenario, Mechanisms::default());
+/// assert!(result.violations.is_empty());
+/// assert!(result.in_time > 0.9);
 /// # std::io::Result::Ok(())
 /// ```
 #[must_use]
--- a/crates/cassiarock-lab/src/scenario.rs
+++ b/crates/cassiarock-lab/src/scenario.rs
@@ -170,7 +170,7 @@
     pub max: f64,
 }
 
-/// Log-normal distribution of a duration.
+/// Log-normal distribution of a duration. Samples are limited to 1 ms to 1 h.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -273,13 +273,13 @@
     }
 
     fn check(&self) -> Check {
-        some("seeds", &self.seeds)?;
-        some("entries", &self.entries)?;
-        some("upstreams", &self.upstreams)?;
-        some("kinds", &self.kinds)?;
+        non_empty("seeds", &self.seeds)?;
+        non_empty("entries", &self.entries)?;
+        non_empty("upstreams", &self.upstreams)?;
+        non_empty("kinds", &self.kinds)?;
         positive("length", self.length.as_secs_f64())?;
         for entry in &self.entries {
-            not_negative("entries.share", entry.share)?;
+            non_negative("entries.share", entry.share)?;
         }
         let shares: f64 = self.entries.iter().map(|entry| entry.share).sum();
         positive("entries.share", shares)?;
@@ -302,28 +302,28 @@
 
 impl Weights {
     fn check(&self) -> Check {
-        not_negative("weights.whole", self.overall)?;
-        not_negative("weights.served", self.served)?;
-        not_negative("weights.windows", self.worst_windows)?;
-        not_negative("weights.worst_kind", self.worst_kind)?;
+        non_negative("weights.whole", self.overall)?;
+        non_negative("weights.served", self.served)?;
+        non_negative("weights.windows", self.worst_windows)?;
+        non_negative("weights.worst_kind", self.worst_kind)?;
         positive("weights.served_best", self.unserved_floor)
     }
 }
 
 impl JobKind {
     fn check(&self) -> Check {
-        not_negative("kinds.rate", self.rate)?;
+        non_negative("kinds.rate", self.rate)?;
         positive("kinds.tasks.mean", self.task_count.mean)?;
-        not_negative("kinds.tasks.spread", self.task_count.relative_deviation)?;
+        non_negative("kinds.tasks.spread", self.task_count.relative_deviation)?;
         positive("kinds.cores.mean", self.cores.mean)?;
-        not_negative("kinds.cores.spread", self.cores.relative_deviation)?;
+        non_negative("kinds.cores.spread", self.cores.relative_deviation)?;
         positive("kinds.run_time.mean", self.run_time.mean.as_secs_f64())?;
-        not_negative("kinds.run_time.spread", self.run_time.relative_deviation)?;
-        not_negative("kinds.estimate_off", self.estimate_error)?;
-        not_negative("kinds.crashing", self.crash_share)?;
+        non_negative("kinds.run_time.spread", self.run_time.relative_deviation)?;
+        non_negative("kinds.estimate_off", self.estimate_error)?;
+        non_negative("kinds.crashing", self.crash_share)?;
         positive("kinds.slack", self.slack_factor)?;
-        not_negative("kinds.worth", self.worth)?;
-        not_negative("kinds.late_worth", self.late_worth)
+        non_negative("kinds.worth", self.worth)?;
+        non_negative("kinds.late_worth", self.late_worth)
     }
 
     const fn late_worth() -> f64 {
@@ -345,15 +345,15 @@
 
 impl Disturbance {
     fn check(&self, scenario: &Scenario) -> Check {
-        not_negative("disturbances.factor", self.factor)?;
-        if let Some(away) = self
+        non_negative("disturbances.factor", self.factor)?;
+        if let Some(unknown) = self
             .upstreams
             .iter()
             .find(|at| **at >= scenario.upstream_count())
         {
             return Err(Problem::new(
                 "disturbances.upstreams",
-                format!("there is no upstream {away}"),
+                format!("there is no upstream {unknown}"),
                 format!("give numbers from 0 to {}", scenario.upstream_count() - 1),
             ));
         }
@@ -396,7 +396,7 @@
     }
 }
 
-fn some<T>(field: &'static str, values: &[T]) -> Check {
+fn non_empty<T>(field: &'static str, values: &[T]) -> Check {
     if values.is_empty() {
         return Err(Problem::new(field, "is empty", "give at least one"));
     }
@@ -414,7 +414,7 @@
     ))
 }
 
-fn not_negative(field: &'static str, value: f64) -> Check {
+fn non_negative(field: &'static str, value: f64) -> Check {
     if value >= 0.0 && value.is_finite() {
         return Ok(());
     }
--- a/crates/cassiarock-lab/tests/play.rs
+++ b/crates/cassiarock-lab/tests/play.rs
@@ -1,4 +1,4 @@
-//! Scenarios played.
+//! Simulates the scenarios in `settings/lab` and checks outcomes, invariants and determinism.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -24,54 +24,54 @@
     small = { "small.jsonc", 0.86 },
     large = { "large.jsonc", 0.92 },
     emptied = { "emptied.jsonc", 0.97 },
-    far_too_much = { "twice-and-a-half.jsonc", 0.48 },
+    overload = { "twice-and-a-half.jsonc", 0.48 },
 )]
-fn no_promise_is_broken_and_most_callers_are_answered_in_time(name: &str, least: f64) {
-    let figures = simulate(&scenario(name), Mechanisms::default());
-    assert!(figures.violations.is_empty(), "{:?}", figures.violations);
-    assert!(figures.in_time >= least, "{}", figures.in_time);
+fn invariants_hold_and_most_callers_are_answered_in_time(name: &str, min_in_time: f64) {
+    let result = simulate(&scenario(name), Mechanisms::default());
+    assert!(result.violations.is_empty(), "{:?}", result.violations);
+    assert!(result.in_time >= min_in_time, "{}", result.in_time);
     assert!(
-        figures.in_time <= figures.in_time_bound,
+        result.in_time <= result.in_time_bound,
         "{}",
-        figures.in_time_bound
+        result.in_time_bound
     );
 }
 
 #[test]
-fn the_same_seed_plays_the_same_on_any_number_of_threads() {
+fn results_do_not_depend_on_the_number_of_threads() {
     let scenario = scenario("all-lost.jsonc");
-    let on = |threads| {
+    let run_on = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads);
-        let figures = pool
+        let result = pool
             .build()
             .unwrap()
             .install(|| simulate(&scenario, Mechanisms::default()));
-        serde_json::to_string(&figures).unwrap()
+        serde_json::to_string(&result).unwrap()
     };
-    assert_eq!(on(1), on(4));
+    assert_eq!(run_on(1), run_on(4));
 }
 
-// Tasks of lost agents were placed again in the order of a hash map, another one in each run: two
-// runs of one seed differed, and no difference below a hundredth could be told from it.
+// Tasks of lost agents were placed again in the iteration order of a hash map, which differs from
+// run to run. Two runs of one seed differed, so no difference below a hundredth could be told from noise.
 #[test]
-fn the_same_seed_plays_the_same_each_time() {
+fn the_same_seed_gives_the_same_result() {
     for file in ["shifted.jsonc", "all-lost.jsonc", "emptied.jsonc"] {
         let scenario = scenario(file);
-        let once = || serde_json::to_string(&simulate(&scenario, Mechanisms::default())).unwrap();
-        assert_eq!(once(), once(), "{file}");
+        let run = || serde_json::to_string(&simulate(&scenario, Mechanisms::default())).unwrap();
+        assert_eq!(run(), run(), "{file}");
     }
 }
 
-// One lookup in a hundred had a task that crashed each upstream that started it. It was placed
-// again and again, and took ten tasks of others down with each; counted to two without keeping the
-// suspects of one crash apart, those others were given up in its place.
+// One lookup in a hundred has a task that crashes each upstream that starts it. Placed again and
+// again, it took ten tasks of others down with each crash. A limit of two crashes per task, without
+// running the suspects of one crash apart, gave up those other tasks in its place.
 #[test]
-fn tasks_that_crash_upstreams_cost_others_less_when_suspects_are_kept_apart() {
+fn separating_crash_suspects_protects_other_tasks() {
     let scenario = scenario("crashing.jsonc");
     let with = simulate(&scenario, Mechanisms::default());
     let without = simulate(&scenario, Mechanisms::without("suspicion").unwrap());
-    let crashes = |figures: &cassiarock_lab::ScenarioResult| -> u64 {
-        figures.seeds.iter().map(|seed| seed.crashes).sum()
+    let crashes = |result: &cassiarock_lab::ScenarioResult| -> u64 {
+        result.seeds.iter().map(|seed| seed.crashes).sum()
     };
     assert!(crashes(&with) > 0 && crashes(&with) < crashes(&without));
     assert!(
@@ -90,11 +90,11 @@
     assert_eq!(with.violations, Vec::<String>::new());
 }
 
-// A burst of two and a half times the room lasted for ten seconds. The kind that the operators
-// had put first was answered in time half as often as the one they had put last, as jobs went
-// by their latest start alone.
+// In a burst of 2.5 times the capacity for ten seconds, the kind with the highest priority was
+// answered in time half as often as the one with the lowest, because jobs were ordered by their
+// latest start alone.
 #[test]
-fn far_beyond_the_room_no_kind_falls_far_behind_the_best_served() {
+fn in_overload_no_kind_falls_far_behind_the_best_served() {
     let scenario = scenario("twice-and-a-half.jsonc");
     let worst = |mechanisms| {
         let kinds = simulate(&scenario, mechanisms).totals_by_kind();
@@ -111,36 +111,39 @@
     assert!(without < with, "{without}");
 }
 
-// In the bursts of a large fleet look-ups with eight tasks, which the operators had put first,
-// fared worst: of them 0.90 were answered in time, of the least urgent kind 0.97, as freed room
-// went to whoever heard of it first. With some room left to them it is 0.95 and 0.92, and of all
-// callers 0.017 get no answer in place of 0.034.
+// In the bursts of a large fleet, look-ups with eight tasks and the highest priority fared worst,
+// as freed capacity went to whichever entry learned of it first: 0.90 of them were answered in
+// time, and 0.97 of the least urgent kind. With capacity reserved for them it is 0.95 and 0.92, and
+// 0.017 of all callers get no answer in place of 0.034.
 #[test]
 fn in_bursts_of_a_large_fleet_the_most_urgent_kind_is_not_the_worst_served() {
     let mut scenario = scenario("large.jsonc");
     scenario.seeds.truncate(1);
     let with = simulate(&scenario, Mechanisms::default());
     let without = simulate(&scenario, Mechanisms::without("reserve").unwrap());
-    let shares = |figures: &cassiarock_lab::ScenarioResult| -> Vec<f64> {
-        let kinds = figures.totals_by_kind();
+    let shares = |result: &cassiarock_lab::ScenarioResult| -> Vec<f64> {
+        let kinds = result.totals_by_kind();
         kinds
             .iter()
             .map(cassiarock_lab::KindResult::in_time_share)
             .collect()
     };
-    let (kept, lost) = (shares(&with), shares(&without));
-    assert!(kept[0] > kept[1], "{kept:?}");
-    assert!(kept[0] > lost[0] + 0.02, "{kept:?} {lost:?}");
+    let (reserved, unreserved) = (shares(&with), shares(&without));
+    assert!(reserved[0] > reserved[1], "{reserved:?}");
+    assert!(
+        reserved[0] > unreserved[0] + 0.02,
+        "{reserved:?} {unreserved:?}"
+    );
     assert!(
         with.in_time > without.in_time + 0.01,
         "{with:?} {without:?}"
     );
 }
 
-// All VMs lost power. Callers whose connections had broken came back with those of the next
-// second, and took the room from the ones who could still be on time.
+// After a power loss of all VMs, callers whose connections had broken came back together with
+// those of the next second, and took the capacity from callers who could still be answered in time.
 #[test]
-fn after_a_loss_of_all_machines_those_who_can_be_on_time_go_first() {
+fn after_a_loss_of_all_vms_jobs_that_can_be_in_time_go_first() {
     let mut scenario = scenario("all-lost.jsonc");
     scenario.seeds = (1..=6).collect();
     let with = simulate(&scenario, Mechanisms::default()).in_time;
@@ -167,11 +170,11 @@
             "cores": { "mean": 1 }, "slack": 1.6, "target": "60ms" }],
         "disturbances": [{ "at": "1s", "for": "1s", "what": "lost", "upstreams": [3] }]"#, "there is no upstream 3" },
 )]
-fn a_bad_file_is_told_with_field_and_remedy(body: &str, told: &str) {
+fn an_invalid_file_is_reported_with_field_and_remedy(body: &str, expected: &str) {
     let error = Scenario::parse(&format!("{{ {body} }}"), "bad.jsonc").unwrap_err();
     let text = error.to_string();
     assert!(
-        text.starts_with("bad.jsonc") && text.contains(told),
+        text.starts_with("bad.jsonc") && text.contains(expected),
         "{text}"
     );
 }
