--- a/crates/cassiarock-lab/src/figures.rs
+++ b/crates/cassiarock-lab/src/result.rs
@@ -1,114 +1,127 @@
-//! What a run showed.
+//! Results of a simulation, as JSON and as text.
 
 use cassiarock_id::Name;
 use serde::Serialize;
 use std::fmt;
 
-/// What callers of one kind of jobs got. Shares are of those who did not leave by themselves.
+/// Outcomes of the callers of one kind of jobs. Callers who left early by themselves are left
+/// out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Kind {
-    /// The kind.
+pub struct KindResult {
+    /// Name of the kind.
     pub name: Name,
-    /// Callers who did not leave by themselves.
+    /// Number of counted callers.
     pub asked: u64,
     /// Answered in time.
     pub in_time: u64,
-    /// Answered later.
+    /// Answered late.
     pub late: u64,
-    /// Told that nothing ran and when to come back.
+    /// Refused: nothing ran, and the answer says when to try again.
     pub refused: u64,
     /// Given up after tasks had run.
     pub given_up: u64,
     /// Answered as failed.
     pub failed: u64,
-    /// Left at the end of their patience.
+    /// Left unanswered at the end of their patience.
     pub unanswered: u64,
 }
 
-/// One seed's run.
+/// Results of the run of one seed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Seed {
+pub struct SeedResult {
     /// The seed.
     pub seed: u64,
-    /// By kind.
-    pub kinds: Vec<Kind>,
+    /// Outcomes by kind.
+    pub kinds: Vec<KindResult>,
     /// The share answered in time.
     pub in_time: f64,
-    /// The share that any scheduler could at most have answered in time.
-    pub bound: f64,
-    /// What it is worth by the users' weights, prices left out.
+    /// Upper bound on the share that any scheduler could have answered in time.
+    #[serde(rename = "bound")]
+    pub in_time_bound: f64,
+    /// Score by the scenario's weights; resource prices are not included.
     pub worth: f64,
-    /// The share that got no answer of use.
+    /// The share that got no useful answer.
     pub unserved: f64,
     /// The share answered in time, by second of arrival.
-    pub seconds: Vec<f64>,
-    /// The share of the upstreams' work that no caller got an answer for.
-    pub thrown: f64,
+    #[serde(rename = "seconds")]
+    pub in_time_by_second: Vec<f64>,
+    /// The share of the upstreams' work that led to no answer.
+    #[serde(rename = "thrown")]
+    pub wasted_work: f64,
     /// Time to a refusal, in ms: median and 99th percentile.
     pub refusal_ms: (f64, f64),
-    /// Frames between entries and agents for each task started, heartbeats left out.
-    pub frames: f64,
-    /// Jain's index of the shares answered in time, over kinds.
-    pub fair_kinds: f64,
-    /// The same over entries.
-    pub fair_entries: f64,
-    /// The most unanswered jobs at one entry.
-    pub queue: usize,
-    /// Upstreams that tasks have crashed.
+    /// Messages between entries and agents per task started, without heartbeats.
+    #[serde(rename = "frames")]
+    pub frames_per_task: f64,
+    /// Jain's fairness index of the shares answered in time, over kinds.
+    #[serde(rename = "fair_kinds")]
+    pub kind_fairness: f64,
+    /// Jain's fairness index of the shares answered in time, over entries.
+    #[serde(rename = "fair_entries")]
+    pub entry_fairness: f64,
+    /// Maximum number of unanswered jobs at one entry.
+    #[serde(rename = "queue")]
+    pub max_queue: usize,
+    /// Upstream crashes caused by tasks.
     pub crashes: u64,
-    /// Promises that were broken.
-    pub broken: Vec<String>,
+    /// Violated invariants.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
-/// All seeds of a scenario; shares are means.
+/// Results of all seeds of a scenario; shares are means over the seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Figures {
+pub struct ScenarioResult {
     /// The share answered in time.
     pub in_time: f64,
-    /// The share that any scheduler could at most have answered in time.
-    pub bound: f64,
-    /// What it is worth by the users' weights, prices left out.
+    /// Upper bound on the share that any scheduler could have answered in time.
+    #[serde(rename = "bound")]
+    pub in_time_bound: f64,
+    /// Score by the scenario's weights; resource prices are not included.
     pub worth: f64,
-    /// How far the worth of the seeds is from their mean: its standard deviation.
-    pub scatter: f64,
-    /// The share that got no answer of use.
+    /// Standard deviation of `worth` over the seeds.
+    #[serde(rename = "scatter")]
+    pub worth_deviation: f64,
+    /// The share that got no useful answer.
     pub unserved: f64,
-    /// The share of the upstreams' work that no caller got an answer for.
-    pub thrown: f64,
-    /// Promises that were broken, with their seed.
-    pub broken: Vec<String>,
-    /// By seed.
-    pub seeds: Vec<Seed>,
+    /// The share of the upstreams' work that led to no answer.
+    #[serde(rename = "thrown")]
+    pub wasted_work: f64,
+    /// Violated invariants, with their seed.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
+    /// Results by seed.
+    pub seeds: Vec<SeedResult>,
 }
 
-impl Figures {
-    pub(crate) fn new(seeds: Vec<Seed>) -> Self {
-        let mean = |value: fn(&Seed) -> f64| {
+impl ScenarioResult {
+    pub(crate) fn new(seeds: Vec<SeedResult>) -> Self {
+        let mean = |value: fn(&SeedResult) -> f64| {
             seeds.iter().map(value).sum::<f64>() / seeds.len().max(1) as f64
         };
-        let broken = seeds.iter().flat_map(|seed| {
-            let told = seed.broken.iter();
+        let violations = seeds.iter().flat_map(|seed| {
+            let told = seed.violations.iter();
             told.map(|fault| format!("seed {}: {fault}", seed.seed))
         });
         let worth = mean(|seed| seed.worth);
         let squares = seeds.iter().map(|seed| (seed.worth - worth).powi(2));
-        let scatter = (squares.sum::<f64>() / seeds.len().max(1) as f64).sqrt();
+        let worth_deviation = (squares.sum::<f64>() / seeds.len().max(1) as f64).sqrt();
         Self {
             worth,
-            scatter,
+            worth_deviation,
             unserved: mean(|seed| seed.unserved),
             in_time: mean(|seed| seed.in_time),
-            bound: mean(|seed| seed.bound),
-            thrown: mean(|seed| seed.thrown),
-            broken: broken.collect(),
+            in_time_bound: mean(|seed| seed.in_time_bound),
+            wasted_work: mean(|seed| seed.wasted_work),
+            violations: violations.collect(),
             seeds,
         }
     }
 
-    /// The sums over seeds, by kind.
+    /// Outcomes by kind, summed over the seeds.
     #[must_use]
-    pub fn kinds(&self) -> Vec<Kind> {
-        let mut sums: Vec<Kind> = Vec::new();
+    pub fn totals_by_kind(&self) -> Vec<KindResult> {
+        let mut sums: Vec<KindResult> = Vec::new();
         for kind in self.seeds.iter().flat_map(|seed| &seed.kinds) {
             match sums.iter_mut().find(|sum| sum.name == kind.name) {
                 Some(sum) => sum.add(kind),
@@ -119,7 +132,7 @@
     }
 }
 
-impl Kind {
+impl KindResult {
     fn add(&mut self, other: &Self) {
         self.asked += other.asked;
         self.in_time += other.in_time;
@@ -132,12 +145,12 @@
 
     /// The share answered in time.
     #[must_use]
-    pub fn share(&self) -> f64 {
+    pub fn in_time_share(&self) -> f64 {
         self.in_time as f64 / self.asked.max(1) as f64
     }
 }
 
-/// Jain's index: 1 if all are alike, 1 over their number if one has all.
+/// Jain's fairness index: 1 if all shares are equal, 1/n if one of n has everything.
 pub(crate) fn jain(shares: &[f64]) -> f64 {
     let sum: f64 = shares.iter().sum();
     let squares: f64 = shares.iter().map(|share| share * share).sum();
@@ -147,14 +160,14 @@
     sum * sum / (shares.len() as f64 * squares)
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for ScenarioResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
             "{:<20} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>10}",
             "kind", "asked", "in time", "late", "refused", "given up", "failed", "unanswered"
         )?;
-        for kind in self.kinds() {
+        for kind in self.totals_by_kind() {
             let share = |count: u64| count as f64 / kind.asked.max(1) as f64;
             writeln!(
                 f,
@@ -179,23 +192,28 @@
                 seed.worth,
                 seed.unserved,
                 seed.in_time,
-                seed.bound,
-                seed.thrown,
+                seed.in_time_bound,
+                seed.wasted_work,
                 seed.refusal_ms.0,
                 seed.refusal_ms.1,
-                seed.frames,
-                seed.fair_kinds,
-                seed.fair_entries,
-                seed.queue
+                seed.frames_per_task,
+                seed.kind_fairness,
+                seed.entry_fairness,
+                seed.max_queue
             )?;
         }
-        for fault in &self.broken {
+        for fault in &self.violations {
             writeln!(f, "BROKEN {fault}")?;
         }
         write!(
             f,
             "worth {:.3} (scatter {:.3}), not served {:.4}, in time {:.3} of at most {:.3}, work thrown away {:.3}",
-            self.worth, self.scatter, self.unserved, self.in_time, self.bound, self.thrown
+            self.worth,
+            self.worth_deviation,
+            self.unserved,
+            self.in_time,
+            self.in_time_bound,
+            self.wasted_work
         )
     }
 }
--- a/crates/cassiarock-lab/src/scenario.rs
+++ b/crates/cassiarock-lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What is played: a deployment, its callers and what happens to it.
+//! The scenario to simulate: a deployment, its callers and its disturbances.
 
 use crate::Error;
 use cassiarock_id::Name;
@@ -10,226 +10,244 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A scenario, as its file gives it. Commented examples stand in `settings/lab`.
+/// A scenario as read from its file. `settings/lab` holds commented examples.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// How long callers come.
+    /// How long callers arrive.
     #[serde_as(as = "Time")]
     pub length: Duration,
-    /// Each seed is one run.
+    /// Seeds; each is one run.
     #[serde(default = "one_seed")]
     pub seeds: Vec<u64>,
-    /// One way, between processes of different data centres; 0.1 ms within one.
-    #[serde(default = "Scenario::across")]
+    /// One-way latency between processes of different data centres; within one it is 0.1 ms.
+    #[serde(default = "Scenario::cross_data_centre_latency")]
     #[serde_as(as = "Time")]
-    pub across: Duration,
+    #[serde(rename = "across")]
+    pub cross_data_centre_latency: Duration,
     /// The entries.
     pub entries: Vec<Entry>,
     /// The upstreams, each with its agent.
-    pub upstreams: Vec<Group>,
+    pub upstreams: Vec<UpstreamGroup>,
     /// The kinds of jobs.
-    pub kinds: Vec<Kind>,
-    /// What happens.
+    pub kinds: Vec<JobKind>,
+    /// Faults and load changes during the run.
     #[serde(default)]
     pub disturbances: Vec<Disturbance>,
-    /// What users weigh.
+    /// Weights of the score.
     #[serde(default)]
     pub weights: Weights,
 }
 
-/// How users weigh what callers get.
+/// Weights of the parts of a run's score (`worth`).
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// What was earned over the whole run.
-    pub whole: f64,
-    /// The share served at all, counted in nines.
+    /// Weight of the share of worth earned over the whole run.
+    #[serde(rename = "whole")]
+    pub overall: f64,
+    /// Weight of the share served at all, on a logarithmic scale (number of nines).
     pub served: f64,
-    /// What was earned in the worst seconds.
-    pub windows: f64,
-    /// What was earned by the worst-served kind.
+    /// Weight of the share of worth earned in the worst time windows.
+    #[serde(rename = "windows")]
+    pub worst_windows: f64,
+    /// Weight of the share of worth earned by the worst-served kind.
     pub worst_kind: f64,
-    /// The share not served that counts as none.
-    pub served_best: f64,
+    /// Unserved share at or below which the `served` part is complete.
+    #[serde(rename = "served_best")]
+    pub unserved_floor: f64,
 }
 
 impl Default for Weights {
     fn default() -> Self {
         Self {
-            whole: 0.4,
+            overall: 0.4,
             served: 0.35,
-            windows: 0.15,
+            worst_windows: 0.15,
             worst_kind: 0.1,
-            served_best: 0.001,
+            unserved_floor: 0.001,
         }
     }
 }
 
-/// An entry.
+/// An entry, the process that accepts callers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Where it is.
+    /// Data centre of the entry.
     pub data_centre: Name,
-    /// Its part of the callers, in terms of the others'.
+    /// Its share of the callers, relative to the other entries' shares.
     #[serde(default = "one")]
     pub share: f64,
 }
 
-/// Upstreams that are alike.
+/// A group of identical upstreams.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Group {
-    /// Where they are.
+pub struct UpstreamGroup {
+    /// Data centre of the upstreams.
     pub data_centre: Name,
-    /// How many.
+    /// Number of upstreams.
     pub count: usize,
-    /// Their cores.
+    /// Cores of each upstream.
     pub cores: f64,
-    /// Their memory.
+    /// Memory of each upstream.
     pub memory_mib: u64,
-    /// How fast they work; tasks take this many times less.
+    /// Speed factor: run times are divided by it.
     #[serde(default = "one")]
     pub speed: f64,
 }
 
-/// Jobs of one queue.
+/// Load and requirements of the jobs of one queue.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
-    /// The queue's name.
+pub struct JobKind {
+    /// Name of the queue.
     pub name: Name,
-    /// Jobs a second.
+    /// Jobs per second.
     pub rate: f64,
-    /// Tasks of a job.
-    pub tasks: Amount,
-    /// How long a task runs.
-    pub run_time: Length,
-    /// Cores of a task.
-    pub cores: Amount,
-    /// Memory of a task.
-    #[serde(default = "Kind::memory_mib")]
+    /// Tasks per job.
+    #[serde(rename = "tasks")]
+    pub task_count: ValueDistribution,
+    /// Run time of a task on an upstream of speed 1.
+    pub run_time: DurationDistribution,
+    /// Cores per task.
+    pub cores: ValueDistribution,
+    /// Memory per task.
+    #[serde(default = "JobKind::memory_mib")]
     pub memory_mib: u64,
-    /// How far callers' estimates of run times are off, as a share.
+    /// Maximum relative error of callers' run time estimates.
     #[serde(default)]
-    pub estimate_off: f64,
-    /// An answer is in time up to this many times the job's longest task, ...
-    pub slack: f64,
-    /// ... and this much more.
+    #[serde(rename = "estimate_off")]
+    pub estimate_error: f64,
+    /// An answer is in time within this multiple of the job's longest task plus
+    /// `target_latency`.
+    #[serde(rename = "slack")]
+    pub slack_factor: f64,
+    /// Time added to the multiple of the longest task, see `slack_factor`.
     #[serde_as(as = "Time")]
-    pub target: Duration,
-    /// 0 goes first.
+    #[serde(rename = "target")]
+    pub target_latency: Duration,
+    /// Priority; 0 is the most urgent.
     #[serde(default)]
     pub priority: u32,
-    /// How often a task may fail.
-    /// The share of its jobs of which one task crashes each upstream that starts it.
+    /// Share of jobs with one task that crashes each upstream that starts it.
     #[serde(default)]
-    pub crashing: f64,
-    #[serde(default = "Kind::attempts")]
-    pub attempts: u32,
-    /// Callers wait three times as long as an answer is in time, and this much more.
-    #[serde(default = "Kind::patience")]
+    #[serde(rename = "crashing")]
+    pub crash_share: f64,
+    /// Maximum number of attempts per task.
+    #[serde(default = "JobKind::max_attempts")]
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
+    /// Callers wait for three times the objective plus this time.
+    #[serde(default = "JobKind::extra_patience")]
     #[serde_as(as = "Time")]
-    pub patience: Duration,
-    /// What an answer in time is worth.
+    #[serde(rename = "patience")]
+    pub extra_patience: Duration,
+    /// Worth of an answer in time.
     #[serde(default = "one")]
     pub worth: f64,
-    /// What a later one is worth.
-    #[serde(default = "Kind::late_worth")]
+    /// Worth of a late answer.
+    #[serde(default = "JobKind::late_worth")]
     pub late_worth: f64,
 }
 
-/// A quantity: its mean, its deviation as a share of the mean, and its bound.
+/// Log-normal distribution of a quantity, cut off at a maximum.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Amount {
-    /// The mean.
+pub struct ValueDistribution {
+    /// Mean of the distribution before the cut-off.
     pub mean: f64,
-    /// The standard deviation, in terms of the mean.
+    /// Standard deviation relative to the mean.
     #[serde(default)]
-    pub spread: f64,
-    /// No more than this.
+    #[serde(rename = "spread")]
+    pub relative_deviation: f64,
+    /// Upper limit of samples.
     #[serde(default = "unbounded")]
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
-/// A duration: its mean and its deviation as a share of the mean.
+/// Log-normal distribution of a duration. Samples are limited to 1 ms to 1 h.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Length {
-    /// The mean.
+pub struct DurationDistribution {
+    /// Mean of the distribution before the cut-off.
     #[serde_as(as = "Time")]
     pub mean: Duration,
-    /// The standard deviation, in terms of the mean.
+    /// Standard deviation relative to the mean.
     #[serde(default)]
-    pub spread: f64,
+    #[serde(rename = "spread")]
+    pub relative_deviation: f64,
 }
 
-/// What happens.
+/// A fault or load change during part of the run.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Disturbance {
-    /// When, from the first caller.
+    /// Start, counted from the first arrival.
     #[serde_as(as = "Time")]
-    pub at: Duration,
-    /// For how long.
+    #[serde(rename = "at")]
+    pub start: Duration,
+    /// How long it lasts.
     #[serde(rename = "for")]
     #[serde_as(as = "Time")]
-    pub lasts: Duration,
-    /// What.
-    pub what: What,
-    /// Which upstreams, counted from 0; all of them if none is named.
+    pub duration: Duration,
+    /// The type of disturbance.
+    #[serde(rename = "what")]
+    pub kind: DisturbanceKind,
+    /// Indices of the affected upstreams, from 0; empty means all.
     #[serde(default)]
     pub upstreams: Vec<usize>,
-    /// How much: times the rate, times the run time, or the share.
+    /// Strength: multiplier of the arrival rate or the run time, or affected share.
     #[serde(default = "one")]
     pub factor: f64,
-    /// Which kind of jobs; all of them if none is named.
+    /// The affected kind of jobs; all kinds if absent.
     #[serde(default)]
-    pub kind: Option<Name>,
-    /// Which data centre is emptied.
+    #[serde(rename = "kind")]
+    pub job_kind: Option<Name>,
+    /// The data centre that is evacuated.
     #[serde(default)]
     pub data_centre: Option<Name>,
 }
 
-/// What can happen.
+/// Types of disturbances.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// More callers come.
+pub enum DisturbanceKind {
+    /// The arrival rate is multiplied by the factor.
     Burst,
-    /// Upstreams work slower.
+    /// Run times on the upstreams are multiplied by the factor.
     Slow,
-    /// Upstreams fail a share of what they start, fast.
+    /// Upstreams fail a share of the tasks that they start, in a fraction of the run time.
     Failing,
-    /// Tasks that start on the upstreams stand still.
+    /// Tasks that start on the upstreams hang.
     Hanging,
     /// Upstreams and their agents lose power.
     Lost,
     /// All entries, agents and upstreams lose power.
     AllLost,
-    /// A share of the callers leaves within their objective.
+    /// A share of the callers disconnects before the end of their objective.
     Leaving,
-    /// Operators empty a data centre, and take that back at the end.
+    /// Operators evacuate a data centre and revoke the evacuation at the end.
     Emptied,
 }
 
 impl Scenario {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// With file, field and remedy.
+    /// If the scenario is invalid; the message names file, field and remedy.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Error> {
         let path = path.as_ref();
         Self::parse(&read::text(path)?, &path.display().to_string())
     }
 
-    /// Parses and checks a text; `file` is named in errors.
+    /// Parses and validates a text; errors name `file`.
     ///
     /// ```
     /// use cassiarock_lab::Scenario;
@@ -238,7 +256,7 @@
     /// ```
     ///
     /// # Errors
-    /// With file, field and remedy.
+    /// If the scenario is invalid; the message names file, field and remedy.
     pub fn parse(text: &str, file: &str) -> Result<Self, Error> {
         let scenario: Self = read::parse(text, file)?;
         scenario
@@ -248,20 +266,20 @@
         Ok(scenario)
     }
 
-    /// How many upstreams there are.
+    /// Number of upstreams in all groups.
     #[must_use]
-    pub fn size(&self) -> usize {
+    pub fn upstream_count(&self) -> usize {
         self.upstreams.iter().map(|group| group.count).sum()
     }
 
     fn check(&self) -> Check {
-        some("seeds", &self.seeds)?;
-        some("entries", &self.entries)?;
-        some("upstreams", &self.upstreams)?;
-        some("kinds", &self.kinds)?;
+        non_empty("seeds", &self.seeds)?;
+        non_empty("entries", &self.entries)?;
+        non_empty("upstreams", &self.upstreams)?;
+        non_empty("kinds", &self.kinds)?;
         positive("length", self.length.as_secs_f64())?;
         for entry in &self.entries {
-            not_negative("entries.share", entry.share)?;
+            non_negative("entries.share", entry.share)?;
         }
         let shares: f64 = self.entries.iter().map(|entry| entry.share).sum();
         positive("entries.share", shares)?;
@@ -270,42 +288,42 @@
             positive("upstreams.cores", group.cores)?;
             positive("upstreams.speed", group.speed)?;
         }
-        self.kinds.iter().try_for_each(Kind::check)?;
+        self.kinds.iter().try_for_each(JobKind::check)?;
         self.weights.check()?;
         self.disturbances
             .iter()
             .try_for_each(|disturbance| disturbance.check(self))
     }
 
-    const fn across() -> Duration {
+    const fn cross_data_centre_latency() -> Duration {
         Duration::from_millis(1)
     }
 }
 
 impl Weights {
     fn check(&self) -> Check {
-        not_negative("weights.whole", self.whole)?;
-        not_negative("weights.served", self.served)?;
-        not_negative("weights.windows", self.windows)?;
-        not_negative("weights.worst_kind", self.worst_kind)?;
-        positive("weights.served_best", self.served_best)
+        non_negative("weights.whole", self.overall)?;
+        non_negative("weights.served", self.served)?;
+        non_negative("weights.windows", self.worst_windows)?;
+        non_negative("weights.worst_kind", self.worst_kind)?;
+        positive("weights.served_best", self.unserved_floor)
     }
 }
 
-impl Kind {
+impl JobKind {
     fn check(&self) -> Check {
-        not_negative("kinds.rate", self.rate)?;
-        positive("kinds.tasks.mean", self.tasks.mean)?;
-        not_negative("kinds.tasks.spread", self.tasks.spread)?;
+        non_negative("kinds.rate", self.rate)?;
+        positive("kinds.tasks.mean", self.task_count.mean)?;
+        non_negative("kinds.tasks.spread", self.task_count.relative_deviation)?;
         positive("kinds.cores.mean", self.cores.mean)?;
-        not_negative("kinds.cores.spread", self.cores.spread)?;
+        non_negative("kinds.cores.spread", self.cores.relative_deviation)?;
         positive("kinds.run_time.mean", self.run_time.mean.as_secs_f64())?;
-        not_negative("kinds.run_time.spread", self.run_time.spread)?;
-        not_negative("kinds.estimate_off", self.estimate_off)?;
-        not_negative("kinds.crashing", self.crashing)?;
-        positive("kinds.slack", self.slack)?;
-        not_negative("kinds.worth", self.worth)?;
-        not_negative("kinds.late_worth", self.late_worth)
+        non_negative("kinds.run_time.spread", self.run_time.relative_deviation)?;
+        non_negative("kinds.estimate_off", self.estimate_error)?;
+        non_negative("kinds.crashing", self.crash_share)?;
+        positive("kinds.slack", self.slack_factor)?;
+        non_negative("kinds.worth", self.worth)?;
+        non_negative("kinds.late_worth", self.late_worth)
     }
 
     const fn late_worth() -> f64 {
@@ -316,30 +334,35 @@
         64
     }
 
-    const fn attempts() -> u32 {
+    const fn max_attempts() -> u32 {
         3
     }
 
-    const fn patience() -> Duration {
+    const fn extra_patience() -> Duration {
         Duration::from_millis(1_500)
     }
 }
 
 impl Disturbance {
     fn check(&self, scenario: &Scenario) -> Check {
-        not_negative("disturbances.factor", self.factor)?;
-        if let Some(away) = self.upstreams.iter().find(|at| **at >= scenario.size()) {
+        non_negative("disturbances.factor", self.factor)?;
+        if let Some(unknown) = self
+            .upstreams
+            .iter()
+            .find(|at| **at >= scenario.upstream_count())
+        {
             return Err(Problem::new(
                 "disturbances.upstreams",
-                format!("there is no upstream {away}"),
-                format!("give numbers from 0 to {}", scenario.size() - 1),
+                format!("there is no upstream {unknown}"),
+                format!("give numbers from 0 to {}", scenario.upstream_count() - 1),
             ));
         }
         let is_group = |name: &Name| {
             let mut groups = scenario.upstreams.iter();
             groups.any(|group| group.data_centre == *name)
         };
-        if self.what == What::Emptied && !self.data_centre.as_ref().is_some_and(is_group) {
+        if self.kind == DisturbanceKind::Emptied && !self.data_centre.as_ref().is_some_and(is_group)
+        {
             return Err(Problem::new(
                 "disturbances.data_centre",
                 "there is no such data centre to empty",
@@ -347,7 +370,7 @@
             ));
         }
         let is_known = |name: &Name| scenario.kinds.iter().any(|kind| kind.name == *name);
-        if let Some(name) = self.kind.as_ref().filter(|name| !is_known(name)) {
+        if let Some(name) = self.job_kind.as_ref().filter(|name| !is_known(name)) {
             return Err(Problem::new(
                 "disturbances.kind",
                 format!("there is no kind {name:?}"),
@@ -357,23 +380,23 @@
         Ok(())
     }
 
-    /// Whether it goes on at this time.
-    pub(crate) fn is_on(&self, at: Duration) -> bool {
-        (self.at..self.at + self.lasts).contains(&at)
+    /// Whether the disturbance is in effect at this time since the first arrival.
+    pub(crate) fn is_active(&self, at: Duration) -> bool {
+        (self.start..self.start + self.duration).contains(&at)
     }
 
-    /// Whether it concerns this upstream.
-    pub(crate) fn strikes(&self, upstream: usize) -> bool {
+    /// Whether the disturbance affects this upstream.
+    pub(crate) fn affects_upstream(&self, upstream: usize) -> bool {
         self.upstreams.is_empty() || self.upstreams.contains(&upstream)
     }
 
-    /// Whether it concerns jobs of this kind.
-    pub(crate) fn concerns(&self, kind: &Name) -> bool {
-        self.kind.as_ref().is_none_or(|name| name == kind)
+    /// Whether the disturbance affects jobs of this kind.
+    pub(crate) fn affects_kind(&self, kind: &Name) -> bool {
+        self.job_kind.as_ref().is_none_or(|name| name == kind)
     }
 }
 
-fn some<T>(field: &'static str, values: &[T]) -> Check {
+fn non_empty<T>(field: &'static str, values: &[T]) -> Check {
     if values.is_empty() {
         return Err(Problem::new(field, "is empty", "give at least one"));
     }
@@ -391,7 +414,7 @@
     ))
 }
 
-fn not_negative(field: &'static str, value: f64) -> Check {
+fn non_negative(field: &'static str, value: f64) -> Check {
     if value >= 0.0 && value.is_finite() {
         return Ok(());
     }
--- a/crates/cassiarock-lab/src/simulation/emptying.rs
+++ b/crates/cassiarock-lab/src/simulation/emptying.rs
@@ -1,17 +1,19 @@
-//! Operators empty data centres.
+//! Evacuation of data centres by operators.
 
 use super::Simulation;
-use crate::caller::FIRST;
-use crate::scenario::What;
+use crate::caller::FIRST_ARRIVAL;
+use crate::scenario::DisturbanceKind;
 use cassiarock_transient::evacuation::State;
 
 impl Simulation<'_> {
-    /// Tells all processes which data centres are being emptied now.
-    pub(super) fn evacuate(&mut self) {
-        let at = self.now - FIRST;
-        let on = self.scenario.disturbances.iter();
-        let on = on.filter(|what| what.what == What::Emptied && what.is_on(at));
-        let emptied = on.filter_map(|what| what.data_centre.clone());
+    /// Hands all processes the set of data centres that are evacuated now.
+    pub(super) fn update_evacuations(&mut self) {
+        let at = self.now - FIRST_ARRIVAL;
+        let active = self.scenario.disturbances.iter();
+        let active = active.filter(|disturbance| {
+            disturbance.kind == DisturbanceKind::Emptied && disturbance.is_active(at)
+        });
+        let emptied = active.filter_map(|disturbance| disturbance.data_centre.clone());
         self.evacuations = State::new(self.evacuations.next_offset() + 1, emptied);
         for entry in &mut self.entries {
             entry.scheduler.set_evacuations(self.evacuations.clone());
@@ -20,16 +22,16 @@
             let agent = &mut self.agents[number];
             let is_evacuated = self.evacuations.contains(&agent.data_centre);
             let actions = agent.host.set_evacuated(is_evacuated);
-            self.carry_out_agent(number, actions);
+            self.execute_agent_actions(number, actions);
         }
     }
 
-    /// Checks that an agent that orders a start is in no data centre that is being emptied.
+    /// Checks that an agent that requests a start is in no evacuated data centre.
     pub(super) fn check_evacuation(&mut self, number: usize) {
         let agent = &self.agents[number];
         if self.evacuations.contains(&agent.data_centre) {
             let fault = format!("{} ordered a start while it is emptied", agent.process.name);
-            self.promise.tell(fault);
+            self.invariants.report_violation(fault);
         }
     }
 }
