--- a/crates/cassiarock-agent/src/state/action.rs
+++ b/crates/cassiarock-agent/src/state/action.rs
@@ -3,7 +3,7 @@
 use cassiarock_id::{Process, Task};
 use cassiarock_policy::place::TaskKey;
 use cassiarock_rule as rule;
-use cassiarock_wire::{Frame, Item, Run};
+use cassiarock_wire::{Frame, Run, TaskStart};
 use std::sync::Arc;
 
 /// A side effect for the shell to carry out.
@@ -26,7 +26,7 @@
     /// The task's run, without its list of tasks.
     pub(crate) run: Run,
     /// The task.
-    pub(crate) item: Item,
+    pub(crate) item: TaskStart,
     /// Who sent it.
     pub(crate) entry: Process,
 }
--- a/crates/cassiarock-entry/src/state/follow.rs
+++ b/crates/cassiarock-entry/src/state/follow.rs
@@ -7,7 +7,7 @@
 use cassiarock_claim::owner::Event;
 use cassiarock_id::{Job, Name, Process};
 use cassiarock_process::Now;
-use cassiarock_wire::{Frame, Whole};
+use cassiarock_wire::{FinalAnswer, Frame};
 use std::time::Duration;
 
 /// How long a link with the owner may take to come about. Longer than a handshake across
@@ -218,26 +218,26 @@
         if let Some((_, answer)) = self.answers.get(&job) {
             return vec![whole(entry.clone(), job, answer)];
         }
-        let none = Whole {
+        let none = FinalAnswer {
             job,
             owned: false,
             answer: None,
         };
         let Some(work) = self.works.get_mut(&job) else {
-            return vec![Action::Send(entry.clone(), Frame::Whole(none))];
+            return vec![Action::Send(entry.clone(), Frame::FinalAnswer(none))];
         };
         if !holds(work, ballot) {
-            return vec![Action::Send(entry.clone(), Frame::Whole(none))];
+            return vec![Action::Send(entry.clone(), Frame::FinalAnswer(none))];
         }
         if !work.attached.contains(entry) {
             work.attached.push(entry.clone());
         }
-        let running = Whole {
+        let running = FinalAnswer {
             job,
             owned: true,
             answer: None,
         };
-        let mut actions = vec![Action::Send(entry.clone(), Frame::Whole(running))];
+        let mut actions = vec![Action::Send(entry.clone(), Frame::FinalAnswer(running))];
         if cancel {
             actions.extend(self.stop(job, Stop::Cancelled, now));
         }
@@ -245,7 +245,7 @@
     }
 
     /// The owner's word on a job.
-    pub(super) fn whole(&mut self, from: &Process, whole: Whole, now: Now) -> Vec<Action> {
+    pub(super) fn whole(&mut self, from: &Process, whole: FinalAnswer, now: Now) -> Vec<Action> {
         let job = whole.job;
         let answer = whole.answer.as_deref().and_then(answer::decode);
         let mut actions = self.whole_for_follower(job, whole.owned, answer.as_ref());
@@ -295,12 +295,12 @@
 
 /// The frame that tells an attached entry a final answer.
 pub(super) fn whole(entry: Process, job: Job, answer: &Answer) -> Action {
-    let whole = Whole {
+    let whole = FinalAnswer {
         job,
         owned: true,
         answer: answer::encode(answer),
     };
-    Action::Send(entry, Frame::Whole(whole))
+    Action::Send(entry, Frame::FinalAnswer(whole))
 }
 
 fn follows(work: &Work, entry: &Process) -> bool {
--- a/crates/cassiarock-entry/src/state/guarded.rs
+++ b/crates/cassiarock-entry/src/state/guarded.rs
@@ -8,7 +8,7 @@
 use cassiarock_policy::dispatch;
 use cassiarock_policy::place::TaskKey;
 use cassiarock_process::Now;
-use cassiarock_wire::{Answered, Ended, Frame, Item, Rejected, Reported, Run};
+use cassiarock_wire::{Answered, Ended, Frame, Rejected, Reported, Run, TaskStart};
 use std::time::Duration;
 
 /// How long after the deadline the proof that nothing ran may still come. An answer is
@@ -269,7 +269,7 @@
         start_by: start.start_by,
         kind: work.submission.kind.clone(),
         limit_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
-        tasks: vec![Item {
+        tasks: vec![TaskStart {
             task: start.task,
             placement: start.placement,
             lateness: 0,
--- a/crates/cassiarock-entry/src/state/mod.rs
+++ b/crates/cassiarock-entry/src/state/mod.rs
@@ -130,9 +130,9 @@
                 ballot,
                 cancel,
             } => self.attach(from, job, ballot.as_ref(), cancel, now),
-            Frame::Whole(whole) => self.whole(from, whole, now),
+            Frame::FinalAnswer(whole) => self.whole(from, whole, now),
             Frame::Entries(entries) => self.meet(entries),
-            Frame::News(news) => self.hear(from, &news, now),
+            Frame::UsageUpdates(news) => self.hear(from, &news, now),
             Frame::AskState => {
                 let state = Frame::State(Arc::clone(&self.rules));
                 vec![Action::Send(from.clone(), state)]
--- a/crates/cassiarock-entry/src/state/place.rs
+++ b/crates/cassiarock-entry/src/state/place.rs
@@ -6,7 +6,7 @@
 use cassiarock_id::{Job, Name, Process, Task};
 use cassiarock_policy::place::{self, PlacedTask, TaskKey};
 use cassiarock_process::Now;
-use cassiarock_wire::{Frame, Item, Run};
+use cassiarock_wire::{Frame, Run, TaskStart};
 use std::collections::BTreeMap;
 
 impl State {
@@ -91,7 +91,7 @@
             return;
         };
         let left = work.expires.saturating_sub(now.up);
-        let item = Item {
+        let item = TaskStart {
             task: start.task,
             placement: start.placement,
             lateness: placed.lateness,
--- a/crates/cassiarock-entry/src/state/teams.rs
+++ b/crates/cassiarock-entry/src/state/teams.rs
@@ -71,7 +71,7 @@
         }
         let entries = self.entries.iter();
         entries
-            .map(|entry| Action::Send(entry.clone(), Frame::News(news.clone())))
+            .map(|entry| Action::Send(entry.clone(), Frame::UsageUpdates(news.clone())))
             .collect()
     }
 
--- a/crates/cassiarock-wire/src/codec.rs
+++ b/crates/cassiarock-wire/src/codec.rs
@@ -1,24 +1,24 @@
-//! Frames to bytes and back.
+//! Encodes and decodes frames.
 
 use crate::Frame;
 
-/// Why bytes are not a frame, or a frame not bytes.
+/// Why a frame could not be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The frame could not be encoded. Only running out of memory causes it.
     #[error("encode a frame: {0}")]
     Encode(String),
-    /// The bytes are no frame of this version. The peer runs another version or is not
-    /// ours; the link is closed.
+    /// The bytes are not a frame of this version. The peer runs another version or is not
+    /// part of this system; the link is closed.
     #[error("decode a frame: {0}")]
     Decode(String),
 }
 
-/// The CBOR encoding of `frame`, one websocket message.
+/// Encodes `frame` as CBOR, the payload of one websocket message.
 ///
 /// # Errors
 ///
-/// `Error::Encode` if the encoder gives up.
+/// `Error::Encode` if the encoder fails.
 ///
 /// ```
 /// use cassiarock_wire::{Frame, decode, encode};
@@ -32,11 +32,11 @@
     Ok(bytes)
 }
 
-/// The frame that `bytes` encode.
+/// Decodes one frame from `bytes`.
 ///
 /// # Errors
 ///
-/// `Error::Decode` if they encode none, or leave a rest.
+/// `Error::Decode` if `bytes` are not a frame or continue after its end.
 pub fn decode(bytes: &[u8]) -> Result<Frame, Error> {
     let mut rest = bytes;
     let frame = ciborium::from_reader(&mut rest).map_err(|e| Error::Decode(e.to_string()))?;
--- a/crates/cassiarock-wire/src/frame.rs
+++ b/crates/cassiarock-wire/src/frame.rs
@@ -1,7 +1,8 @@
-//! The one type that travels on a link.
+//! The message type of all links between processes.
 
 use crate::{
-    Answered, Ended, Found, HandOver, Hello, Ping, Pong, Rejected, Reported, Run, TakenOver, Whole,
+    Answered, Ended, FinalAnswer, Found, HandOver, Hello, Ping, Pong, Rejected, Reported, Run,
+    TakenOver,
 };
 use cassiarock_claim::Ballot;
 use cassiarock_claim::message::{Cancel, ClaimRequest, Fence};
@@ -16,7 +17,7 @@
 /// A message between two processes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Frame {
-    /// Opens a link.
+    /// Handshake: identity and proof of the shared key.
     Hello(Hello),
     /// Entry to agent or entry: heartbeat.
     Ping(Ping),
@@ -31,23 +32,23 @@
     },
     /// Agent to entry: how a task ended.
     Ended(Ended),
-    /// Agent to entry: a start that started nothing.
+    /// Agent to entry: a task was not started.
     Rejected(Rejected),
-    /// Entry to agent: take back a placement.
+    /// Entry to agent: cancel a placement.
     Cancel(Cancel),
-    /// Entry to keeper.
+    /// Entry to keeper: requests the claim on a job.
     Ask(ClaimRequest),
-    /// Keeper to entry.
+    /// Keeper to entry: the reply to `Ask`.
     Answered(Answered),
     /// Entry to agent: fence and report.
     Fence(Fence),
     /// Agent to entry: the fence's effect.
     Reported(Box<Reported>),
-    /// Entry to keeper: who owns this job?
+    /// Entry to keeper: asks for the owner of a job.
     Find(Job),
-    /// Keeper to entry.
+    /// Keeper to entry: the reply to `Find`.
     Found(Found),
-    /// Entry to owner: send me the job's final answer.
+    /// Entry to owner: asks for the job's final answer.
     Attach {
         /// The job.
         job: Job,
@@ -56,32 +57,34 @@
         /// Whether a caller has cancelled it.
         cancel: bool,
     },
-    /// Owner to entry.
-    Whole(Whole),
+    /// Owner to entry: the reply to `Attach`.
+    #[serde(rename = "Whole")]
+    FinalAnswer(FinalAnswer),
     /// Entry to agent: its demand for slots.
     Demand(SlotDemand),
     /// Agent to entry: slots promised to the receiver.
     Grant(LoadReport),
-    /// Agent to entry: it takes no new work.
+    /// Agent to entry: the sender is leaving and accepts no new work.
     Leaving,
-    /// Agent to entry: the entries linked to it, with where they take links.
+    /// Agent to entry: the entries linked to the sender and the addresses at which they listen.
     Entries(Vec<(Process, Name)>),
-    /// Entry to entry: what its teams have used of each pool.
-    News(Vec<(Name, Vec<Usage>)>),
-    /// To a peer that knows a newer state: send it to me.
+    /// Entry to entry: each team's use of each pool, as the sender has counted it.
+    #[serde(rename = "News")]
+    UsageUpdates(Vec<(Name, Vec<Usage>)>),
+    /// Asks a peer that has a newer state to send it.
     AskState,
     /// The log's state as the sender knows it, for a peer that may be cut off from the log.
     State(Arc<State>),
-    /// Leaving agent to another one.
+    /// Leaving agent to another agent: its claims and ledger.
     HandOver(HandOver),
-    /// The other one's receipt.
+    /// The reply to `HandOver`.
     TakenOver(TakenOver),
-    /// About jobs that are answered at their end and stored nowhere.
+    /// A message about transient jobs, which are answered when they end and never stored.
     Transient(Message),
 }
 
 impl Frame {
-    /// The label of its kind in metrics.
+    /// The value of the `kind` label in metrics.
     ///
     /// ```
     /// assert_eq!(cassiarock_wire::Frame::Leaving.kind(), "leaving");
@@ -103,14 +106,14 @@
             Self::Find(_) => "find",
             Self::Found(_) => "found",
             Self::Attach { .. } => "attach",
-            Self::Whole(_) => "whole",
+            Self::FinalAnswer(_) => "whole",
             Self::Demand(_) => "demand",
             Self::Grant(_) => "grant",
             Self::Leaving => "leaving",
             Self::AskState => "ask_state",
             Self::State(_) => "state",
             Self::Entries(_) => "entries",
-            Self::News(_) => "news",
+            Self::UsageUpdates(_) => "news",
             Self::HandOver(_) => "hand_over",
             Self::TakenOver(_) => "taken_over",
             Self::Transient(_) => "transient",
--- a/crates/cassiarock-wire/src/hello.rs
+++ b/crates/cassiarock-wire/src/hello.rs
@@ -1,22 +1,22 @@
-//! The first frames on a link, by which each side proves that it knows the shared key.
+//! The handshake frames, in which each side proves that it knows the shared key.
 
 use cassiarock_id::{Name, Process};
 use serde::{Deserialize, Serialize};
 
-/// What a process is.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Role {
     /// Serves callers and places tasks.
     Entry,
-    /// Guards one upstream.
+    /// Runs tasks at one upstream.
     Agent,
 }
 
-/// Who is at the other end. The side that is dialled sends its own first, with a fresh
-/// `nonce`; each proof covers the other side's nonce, so a recorded one is worthless.
+/// Identity and proof of the sender. The accepting side sends its hello first, with a fresh
+/// `nonce`. Each proof covers the other side's nonce, so that a recorded one can't be replayed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hello {
-    /// The frames' version, `Hello::VERSION`.
+    /// The sender's protocol version, `Hello::VERSION`.
     pub version: u16,
     /// The process.
     pub process: Process,
@@ -24,18 +24,18 @@
     pub role: Role,
     /// Its data centre.
     pub data_centre: Name,
-    /// Its address for links from others, empty if it takes none.
+    /// The address at which it accepts links, empty if it accepts none.
     pub address: Name,
     /// Random bytes that the other side's proof must cover.
     #[serde(with = "serde_bytes")]
     pub nonce: [u8; 16],
-    /// The keyed hash of the other side's nonce; empty in the first hello, whose sender
-    /// proves itself with a second one.
+    /// The keyed hash over the other side's nonce; empty in the first hello, whose sender
+    /// proves the key with a second one.
     #[serde(with = "serde_bytes")]
     pub proof: Vec<u8>,
 }
 
 impl Hello {
-    /// The version of the frames. A process turns away peers of another one.
+    /// The protocol version. A process rejects peers of another version.
     pub const VERSION: u16 = 1;
 }
--- a/crates/cassiarock-wire/src/lib.rs
+++ b/crates/cassiarock-wire/src/lib.rs
@@ -9,5 +9,6 @@
 pub use frame::Frame;
 pub use hello::{Hello, Role};
 pub use work::{
-    Answered, Ended, Found, HandOver, Item, Ping, Pong, Rejected, Reported, Run, TakenOver, Whole,
+    Answered, Ended, FinalAnswer, Found, HandOver, Ping, Pong, Rejected, Reported, Run, TakenOver,
+    TaskStart,
 };
--- a/crates/cassiarock-wire/src/work.rs
+++ b/crates/cassiarock-wire/src/work.rs
@@ -28,7 +28,7 @@
     pub view: u64,
     /// The log offset up to which the agent's state reaches.
     pub next: u64,
-    /// How long ago the agent adopted that version, in milliseconds.
+    /// How long ago the agent adopted `view`, in milliseconds.
     pub adopted_ms: u64,
     /// The agent's load.
     pub load: LoadReport,
@@ -41,7 +41,7 @@
 pub struct Run {
     /// The job.
     pub job: Job,
-    /// Hash over the submission's tasks.
+    /// The hash of the submission's tasks.
     pub digest: u64,
     /// The attempt under which they are started.
     pub ballot: Ballot,
@@ -49,26 +49,26 @@
     pub keeper: Option<Process>,
     /// The membership version at which the attempt was granted or gathered.
     pub view: u64,
-    /// The wall-clock time after which the start is void.
+    /// The wall-clock time after which the tasks may no longer be started.
     pub start_by: Wall,
-    /// The kind of the request, passed on to the worker.
+    /// The kind of the request, passed on to the upstream.
     pub kind: Name,
-    /// Milliseconds that a task may take at the worker.
+    /// The time limit of a task at the upstream, in milliseconds.
     pub limit_ms: u64,
     /// The tasks.
-    pub tasks: Vec<Item>,
+    pub tasks: Vec<TaskStart>,
 }
 
 /// One task in a [`Run`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Item {
+pub struct TaskStart {
     /// The task.
     pub task: Task,
     /// The number of its placement under the ballot.
     pub placement: u32,
     /// How late the task is when the frame is written, in milliseconds.
     pub lateness: i32,
-    /// Whether it may wait at the agent for a slot.
+    /// Whether the task may wait at the agent for a slot.
     pub may_wait: bool,
     /// The caller's payload, raw JSON.
     #[serde(with = "serde_bytes")]
@@ -76,9 +76,9 @@
 }
 
 impl Run {
-    /// What the agent's ledger decides on for `item`.
+    /// The start of `item` as the agent's ledger takes it.
     #[must_use]
-    pub fn start(&self, item: &Item) -> Start {
+    pub fn start(&self, item: &TaskStart) -> Start {
         Start {
             job: self.job,
             digest: self.digest,
@@ -97,19 +97,19 @@
 pub struct Ended {
     /// The job.
     pub job: Job,
-    /// The attempt that is told.
+    /// The attempt that is notified.
     pub ballot: Ballot,
     /// The task.
     pub task: Task,
-    /// What it came to.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The time from start to end at the worker, in milliseconds.
+    /// The run time at the upstream, in milliseconds.
     pub ran_ms: u64,
     /// The agent's load, if the outcome goes to the entry that held the slot.
     pub load: Option<LoadReport>,
 }
 
-/// A start that started nothing.
+/// A task that the agent did not start.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Rejected {
     /// The job.
@@ -120,35 +120,35 @@
     pub task: Task,
     /// The placement that was rejected.
     pub placement: u32,
-    /// Why.
+    /// Why it was rejected.
     pub reject: Reject,
     /// The agent's load.
     pub load: LoadReport,
 }
 
-/// A keeper's answer.
+/// A keeper's reply to a claim request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Answered {
-    /// The job asked about.
+    /// The job.
     pub job: Job,
-    /// The attempt that asked.
+    /// The attempt that sent the request.
     pub ballot: Ballot,
-    /// The view that the ask carried.
+    /// The membership version of the request.
     pub view: u64,
-    /// The answer.
+    /// The reply.
     pub answer: ClaimReply,
-    /// Where the owner that the answer names takes links, if the keeper is linked to it.
+    /// The address of the owner that the reply names, if the keeper is linked to it.
     pub owner: Option<Name>,
 }
 
-/// Whom a keeper knows as a job's owner.
+/// The owner of a job as a keeper knows it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Found {
     /// The job.
     pub job: Job,
     /// The owner, if any.
     pub owner: Option<Process>,
-    /// Where the owner takes links, if the keeper is linked to it.
+    /// The owner's address, if the keeper is linked to it.
     pub address: Option<Name>,
 }
 
@@ -161,36 +161,36 @@
     pub ballot: Ballot,
     /// The report, or why the fence did not take effect.
     pub report: Result<FenceReport, Reject>,
-    /// Where the highest attempt's entry takes links, if the agent is linked to it.
+    /// The address of the highest attempt's entry, if the agent is linked to it.
     pub owner: Option<Name>,
 }
 
 /// A job's final answer, from its owner to an entry that attached to it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Whole {
+pub struct FinalAnswer {
     /// The job.
     pub job: Job,
     /// Whether the sender owns the job or has its answer.
     pub owned: bool,
-    /// The final answer in the entries' own encoding, once there is one.
+    /// The final answer in the entries' internal encoding, absent until the job has ended.
     #[serde(with = "serde_bytes")]
     pub answer: Option<Vec<u8>>,
 }
 
-/// What a leaving agent passes on to another one.
+/// The state that a leaving agent hands over to another agent.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HandOver {
     /// Claims that the receiver keeps from now on.
     pub claims: Vec<ClaimRecord>,
-    /// What the ledger knew.
+    /// The records of the sender's ledger.
     pub kept: Vec<LedgerRecord>,
-    /// Jobs issued up to then may have run there and been forgotten.
+    /// The sender may have run jobs issued up to this time and dropped their records.
     pub floor: Wall,
 }
 
-/// Whether a hand-over was taken; not by an agent that is about to leave itself.
+/// The reply to a hand-over. An agent that is itself about to leave refuses it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TakenOver {
-    /// Whether it was.
+    /// Whether the hand-over was accepted.
     pub accepted: bool,
 }
--- a/crates/cassiarock-wire/tests/codec.rs
+++ b/crates/cassiarock-wire/tests/codec.rs
@@ -1,9 +1,9 @@
-//! Frames survive the wire, and nothing else passes for one.
+//! Encoded frames decode to the same frames, and malformed bytes are rejected.
 
 use cassiarock_claim::Ballot;
 use cassiarock_id::{Job, Process, Task, Wall};
 use cassiarock_policy::load::SlotDemand;
-use cassiarock_wire::{Frame, Item, Run, decode, encode};
+use cassiarock_wire::{Frame, Run, TaskStart, decode, encode};
 use yare::parameterized;
 
 fn start() -> Frame {
@@ -16,7 +16,7 @@
         start_by: Wall::from_millis(7),
         kind: "seat-check".into(),
         limit_ms: 1000,
-        tasks: vec![Item {
+        tasks: vec![TaskStart {
             task: Task(6),
             placement: 1,
             lateness: -5,
@@ -35,7 +35,7 @@
     demand = { Frame::Demand(SlotDemand::default()) },
     run = { start() },
 )]
-fn a_frame_comes_back_as_it_went(frame: Frame) {
+fn a_decoded_frame_equals_the_encoded_one(frame: Frame) {
     let bytes = encode(&frame).unwrap();
     assert_eq!(decode(&bytes).unwrap(), frame);
 }
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_frame_with_a_rest_is_an_error() {
+fn trailing_bytes_are_an_error() {
     let mut bytes = encode(&Frame::Leaving).unwrap();
     bytes.push(0);
     assert!(decode(&bytes).is_err());
