--- a/crates/cassiarock-agent/src/run.rs
+++ b/crates/cassiarock-agent/src/run.rs
@@ -6,7 +6,7 @@
 use axum::Router;
 use cassiarock_claim::RetentionLimit;
 use cassiarock_id::{Process, Wall};
-use cassiarock_peer::{Identity, Key, Links, Listener, Tempo};
+use cassiarock_peer::{Identity, Key, LinkTiming, Links, Listener};
 use cassiarock_platform::neighbour::Neighbours;
 use cassiarock_platform::{Follower, Log};
 use cassiarock_policy::slot;
@@ -68,7 +68,7 @@
             role: Role::Agent,
             data_centre: settings.data_centre.clone(),
             address: address.to_string().into(),
-            tempo: Tempo::default(),
+            timing: LinkTiming::default(),
         };
         let key = Key::new(settings.key.as_str());
         let (inputs, received) = mpsc::channel(BACKLOG);
--- a/crates/cassiarock-agent/src/state/mod.rs
+++ b/crates/cassiarock-agent/src/state/mod.rs
@@ -217,7 +217,7 @@
             known.pinged = ping.sent;
         }
         let mut actions = vec![self.pong(entry, ping.sent, now)];
-        if self.behind.asks(self.rules.next, ping.next, now.up) {
+        if self.behind.asks(self.rules.next, ping.next_offset, now.up) {
             actions.push(Action::Send(entry.clone(), Frame::AskState));
         }
         actions
@@ -230,7 +230,7 @@
         let pong = Pong {
             sent,
             view: self.view.version,
-            next: self.rules.next,
+            next_offset: self.rules.next,
             adopted_ms: u64::try_from(adopted.as_millis()).unwrap_or(u64::MAX),
             load: self.load_for(entry, now),
             leaving: self.leaving,
--- a/crates/cassiarock-dispatch/src/links.rs
+++ b/crates/cassiarock-dispatch/src/links.rs
@@ -1,7 +1,7 @@
 //! Time limits of links, and sending messages over them.
 
 use cassiarock_id::Process;
-use cassiarock_peer::{Links, Tempo};
+use cassiarock_peer::{LinkTiming, Links};
 use cassiarock_transient::{Message, timing};
 use cassiarock_wire::Frame;
 use std::time::Duration;
@@ -26,14 +26,14 @@
 const MAX_UNREACHABLE_PAUSE: Duration = Duration::from_secs(2);
 
 /// The time limits of links that carry tasks of a tenth of a second.
-pub(crate) const fn tempo() -> Tempo {
-    Tempo {
-        silence: timing::LINK_TIMEOUT,
-        connect: CONNECT_RESEND,
-        handshake: HANDSHAKE_TIMEOUT,
-        pause: MAX_REDIAL_PAUSE,
-        patience: UNREACHABLE_LIMIT,
-        rest: MAX_UNREACHABLE_PAUSE,
+pub(crate) const fn link_timing() -> LinkTiming {
+    LinkTiming {
+        idle_timeout: timing::LINK_TIMEOUT,
+        connect_resend: CONNECT_RESEND,
+        handshake_timeout: HANDSHAKE_TIMEOUT,
+        max_redial_pause: MAX_REDIAL_PAUSE,
+        unreachable_limit: UNREACHABLE_LIMIT,
+        max_unreachable_pause: MAX_UNREACHABLE_PAUSE,
     }
 }
 
--- a/crates/cassiarock-dispatch/src/mesh.rs
+++ b/crates/cassiarock-dispatch/src/mesh.rs
@@ -91,7 +91,7 @@
         }
         self.roster.add(address, is_near);
         if let Some(dialer) = self.dialers.get(&address) {
-            dialer.nudge();
+            dialer.dial_now();
         }
     }
 
--- a/crates/cassiarock-dispatch/src/run/mod.rs
+++ b/crates/cassiarock-dispatch/src/run/mod.rs
@@ -7,7 +7,7 @@
 pub use entry::run_entry;
 
 use crate::Error;
-use crate::links::tempo;
+use crate::links::link_timing;
 use cassiarock_adapter::{Settings, reports};
 use cassiarock_id::Process;
 use cassiarock_peer::Identity;
@@ -38,7 +38,7 @@
         role,
         data_centre: settings.data_centre.clone(),
         address: settings.peers.to_string().into(),
-        tempo: tempo(),
+        timing: link_timing(),
     }
 }
 
--- a/crates/cassiarock-entry/src/actor.rs
+++ b/crates/cassiarock-entry/src/actor.rs
@@ -195,7 +195,7 @@
         let ping = Ping {
             sent: now,
             view: self.state.membership(),
-            next: self.state.next(),
+            next_offset: self.state.next(),
         };
         self.send(to, Frame::Ping(ping));
     }
--- a/crates/cassiarock-entry/src/run.rs
+++ b/crates/cassiarock-entry/src/run.rs
@@ -5,7 +5,7 @@
 use crate::{Error, explain};
 use cassiarock_caller::{self as caller, Call};
 use cassiarock_id::{Process, Wall};
-use cassiarock_peer::{Identity, Key, Links, Listener, Tempo};
+use cassiarock_peer::{Identity, Key, LinkTiming, Links, Listener};
 use cassiarock_platform::neighbour::Neighbours;
 use cassiarock_platform::{Follower, Log};
 use cassiarock_policy::dispatch;
@@ -82,7 +82,7 @@
             role: Role::Entry,
             data_centre: settings.data_centre.clone(),
             address: address.to_string().into(),
-            tempo: Tempo::default(),
+            timing: LinkTiming::default(),
         };
         let key = Key::new(settings.key.as_str());
         let (inputs, received) = mpsc::channel(BACKLOG);
--- a/crates/cassiarock-entry/src/state/agents.rs
+++ b/crates/cassiarock-entry/src/state/agents.rs
@@ -84,7 +84,7 @@
         let adopted = Duration::from_millis(pong.adopted_ms);
         self.views
             .confirm(agent, pong.view, adopted, pong.sent, now.wall);
-        if self.behind.asks(self.rules.next, pong.next, now.up) {
+        if self.behind.asks(self.rules.next, pong.next_offset, now.up) {
             return vec![Action::Send(agent.clone(), Frame::AskState)];
         }
         Vec::new()
@@ -95,7 +95,7 @@
         let pong = Pong {
             sent: ping.sent,
             view: self.membership(),
-            next: self.rules.next,
+            next_offset: self.rules.next,
             adopted_ms: 0,
             load: LoadReport::default(),
             leaving: self.leaving,
--- a/crates/cassiarock-peer/src/dial.rs
+++ b/crates/cassiarock-peer/src/dial.rs
@@ -1,7 +1,7 @@
-//! Keeps one link to one peer open, dialling again after each end.
+//! Keeps one link to one peer open, and dials again whenever it ends.
 
 use crate::link::Opened;
-use crate::{Error, Event, Identity, Key, Tempo, handshake, link};
+use crate::{Error, Event, Identity, Key, LinkTiming, handshake, link};
 use cassiarock_id::Process;
 use cassiarock_wire::Hello;
 use rand::RngExt;
@@ -14,45 +14,46 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_tungstenite::client_async_with_config;
 
-/// The pause before the first new try: a restarted peer listens again within it.
-const SHORTEST: Duration = Duration::from_millis(50);
+/// The pause before the first retry. A restarted peer listens again within it.
+const MIN_PAUSE: Duration = Duration::from_millis(50);
 
-/// Over this time dials are spread that follow from the same news.
-const SPREAD: Duration = Duration::from_millis(20);
+/// The longest random delay of a dial that the same event may trigger in many processes at once.
+const MAX_DIAL_JITTER: Duration = Duration::from_millis(20);
 
 /// Keeps a link to one process open; dropping it ends the link.
 #[derive(Debug)]
 pub struct Dialer {
     task: JoinHandle<()>,
-    nudged: Arc<Notify>,
+    dial_now: Arc<Notify>,
 }
 
 impl Dialer {
-    /// Dials `address` and expects `wanted` there, if given.
+    /// Starts dialling `address`. With `wanted`, any other process found there is rejected.
     #[must_use]
     pub fn new(
         address: SocketAddr,
         wanted: Option<Process>,
-        me: Identity,
+        identity: Identity,
         key: Key,
         events: mpsc::Sender<Event>,
     ) -> Self {
-        let nudged = Arc::new(Notify::new());
-        let call = Call {
+        let dial_now = Arc::new(Notify::new());
+        let connector = Connector {
             peer: address,
             wanted,
-            me,
+            identity,
             key,
             events,
-            nudged: nudged.clone(),
+            dial_now: dial_now.clone(),
         };
-        let task = tokio::spawn(call.keep());
-        Self { task, nudged }
+        let task = tokio::spawn(connector.run());
+        Self { task, dial_now }
     }
 
-    /// The peer is known to be there: it is dialled at once, unless its link is open.
-    pub fn nudge(&self) {
-        self.nudged.notify_one();
+    /// Dials the peer without waiting for the pause to end, since it is known to be up. An open
+    /// link is kept.
+    pub fn dial_now(&self) {
+        self.dial_now.notify_one();
     }
 }
 
@@ -62,66 +63,73 @@
     }
 }
 
-/// Whom to dial, and as whom.
-struct Call {
+/// Dials one peer and runs the links to it.
+struct Connector {
     peer: SocketAddr,
     wanted: Option<Process>,
-    me: Identity,
+    identity: Identity,
     key: Key,
     events: mpsc::Sender<Event>,
-    nudged: Arc<Notify>,
+    dial_now: Arc<Notify>,
 }
 
-impl Call {
-    /// Keeps the link open until nobody is there to hear of it.
-    async fn keep(self) {
-        let tempo = self.me.tempo;
-        let mut pause = SHORTEST;
-        let mut lost = Instant::now();
+impl Connector {
+    /// Keeps the link open until the receiver of the events is dropped.
+    async fn run(self) {
+        let timing = self.identity.timing;
+        let mut pause = MIN_PAUSE;
+        let mut unreachable_since = Instant::now();
         while !self.events.is_closed() {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let opened = tokio::select! {
-                opened = timeout(tempo.handshake, self.open()) => Some(opened),
-                // What is under way may have been sent before the peer was there.
-                () = self.nudged.notified() => None,
+                opened = timeout(timing.handshake_timeout, self.open()) => Some(opened),
+                // The attempt in progress may have been sent before the peer listened.
+                () = self.dial_now.notified() => None,
             };
-            let is_there = opened.is_none();
+            let is_notified = opened.is_none();
             match opened {
                 Some(Ok(Ok(opened))) => {
-                    self.run(opened).await;
-                    lost = Instant::now();
+                    self.run_link(opened).await;
+                    unreachable_since = Instant::now();
                 }
                 Some(Ok(Err(error))) => log::debug!(peer:% = self.peer; "not linked: {error}"),
                 Some(Err(_)) => log::debug!(peer:% = self.peer; "not linked: no answer"),
                 None => {}
             }
-            pause = next_pause(pause, began.elapsed(), &tempo, lost.elapsed());
-            if is_there || self.rest(jittered(pause)).await {
-                pause = SHORTEST;
+            pause = next_pause(
+                pause,
+                started_at.elapsed(),
+                &timing,
+                unreachable_since.elapsed(),
+            );
+            if is_notified || self.pause(jittered(pause)).await {
+                pause = MIN_PAUSE;
                 let share = rand::random();
-                sleep(SPREAD.mul_f64(share)).await;
+                sleep(MAX_DIAL_JITTER.mul_f64(share)).await;
             }
         }
     }
 
-    async fn run(&self, opened: Opened) {
-        let (peer, silence) = (self.peer, self.me.tempo.silence);
-        let error = link::run(opened, silence, self.events.clone()).await;
+    async fn run_link(&self, opened: Opened) {
+        let (peer, idle_timeout) = (self.peer, self.identity.timing.idle_timeout);
+        let error = link::run(opened, idle_timeout, self.events.clone()).await;
         log::debug!(peer:% = peer; "link ended: {error}");
     }
 
-    /// Waits for `pause`, or less if the peer is known to be there: then answers true.
-    async fn rest(&self, pause: Duration) -> bool {
+    /// Waits for `pause`. Returns true at once if `dial_now` is called meanwhile.
+    async fn pause(&self, pause: Duration) -> bool {
         tokio::select! {
             () = sleep(pause) => false,
-            () = self.nudged.notified() => true,
+            () = self.dial_now.notified() => true,
         }
     }
 
     async fn open(&self) -> Result<Opened, Error> {
         let peer = self.peer;
         let failed = |source| Error::Dial { peer, source };
-        let stream = connect(peer, self.me.tempo.connect).await.map_err(failed)?;
+        let stream = connect(peer, self.identity.timing.connect_resend)
+            .await
+            .map_err(failed)?;
         stream.set_nodelay(true).map_err(failed)?;
         let config = Some(handshake::config());
         let opening = client_async_with_config(format!("ws://{peer}/"), stream, config);
@@ -130,8 +138,8 @@
             peer,
             reason: e.to_string(),
         })?;
-        let hello = handshake::dial(&mut socket, peer, &self.me, &self.key).await?;
-        expect(peer, self.wanted.as_ref(), &hello)?;
+        let hello = handshake::dial(&mut socket, peer, &self.identity, &self.key).await?;
+        check_process(peer, self.wanted.as_ref(), &hello)?;
         Ok(Opened {
             socket,
             address: peer,
@@ -141,40 +149,46 @@
     }
 }
 
-/// A link that lasted is dialled again soon. The pauses double otherwise, up to a bound that
-/// is higher for a peer that has been away for long.
-fn next_pause(pause: Duration, lasted: Duration, tempo: &Tempo, away: Duration) -> Duration {
-    let longest = if away > tempo.patience {
-        tempo.rest
-    } else if lasted > tempo.pause {
-        return SHORTEST;
+/// The pause before the next dial: the shortest one after a link or attempt that lasted longer
+/// than `max_redial_pause`, otherwise twice the last one up to a bound, which is a separate one
+/// for a peer that has been unreachable for longer than `unreachable_limit`.
+fn next_pause(
+    pause: Duration,
+    elapsed: Duration,
+    timing: &LinkTiming,
+    unreachable: Duration,
+) -> Duration {
+    let longest = if unreachable > timing.unreachable_limit {
+        timing.max_unreachable_pause
+    } else if elapsed > timing.max_redial_pause {
+        return MIN_PAUSE;
     } else {
-        tempo.pause
+        timing.max_redial_pause
     };
     (pause * 2).min(longest)
 }
 
-/// Half to whole of `pause`, so that many processes do not dial a returning one at once.
+/// Half to all of `pause`, so that many processes do not dial a returning one at once.
 fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.5..1.0))
 }
 
-/// Opens a connection, trying anew each `again` while the tries before may still be answered;
-/// the caller bounds them. A packet that is sent to a VM without power is lost, and the system
-/// repeats it only a second later, when the VM may long be back.
-async fn connect(peer: SocketAddr, again: Duration) -> std::io::Result<TcpStream> {
-    let mut tries = JoinSet::new();
+/// Opens a connection. Starts a further attempt every `resend` and returns the first result of any
+/// of them; the calling function bounds the total time. A packet sent to a VM without power is lost, and
+/// the operating system repeats it only a second later, when the VM may long be back.
+async fn connect(peer: SocketAddr, resend: Duration) -> std::io::Result<TcpStream> {
+    let mut attempts = JoinSet::new();
     loop {
-        tries.spawn(TcpStream::connect(peer));
-        if let Ok(Some(Ok(opened))) = timeout(again, tries.join_next()).await {
+        attempts.spawn(TcpStream::connect(peer));
+        if let Ok(Some(Ok(opened))) = timeout(resend, attempts.join_next()).await {
             return opened;
         }
     }
 }
 
-fn expect(peer: SocketAddr, wanted: Option<&Process>, hello: &Hello) -> Result<(), Error> {
+fn check_process(peer: SocketAddr, wanted: Option<&Process>, hello: &Hello) -> Result<(), Error> {
     match wanted {
-        Some(wanted) if *wanted != hello.process => Err(Error::Other {
+        Some(wanted) if *wanted != hello.process => Err(Error::UnexpectedPeer {
             peer,
             wanted: wanted.to_string(),
             found: hello.process.to_string(),
--- a/crates/cassiarock-peer/src/error.rs
+++ b/crates/cassiarock-peer/src/error.rs
@@ -1,9 +1,9 @@
-//! Why a link could not be opened or ended.
+//! The reasons why a link could not be opened, or ended.
 
 use cassiarock_wire::{Hello, Role};
 use std::net::SocketAddr;
 
-/// What went wrong on a link, with the step and the peer's address.
+/// A failure of a link, with the step and the peer's address.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The listening address could not be bound. Another process holds it, or the VM
@@ -26,15 +26,15 @@
     /// The websocket failed. The link is opened again after a pause.
     #[error("{step} with {peer}: {reason}")]
     Socket {
-        /// What was being done.
+        /// The step that failed.
         step: &'static str,
         /// The peer's address.
         peer: SocketAddr,
         /// The library's reason.
         reason: String,
     },
-    /// The peer sent something else than a hello, or none in time. It is no process of
-    /// this system, or something between the two ends has lost the connection.
+    /// The peer sent something other than a hello, or none in time. It is not a process of
+    /// this system, or a device on the path has dropped the connection.
     #[error("handshake with {peer}: {reason}")]
     Handshake {
         /// The peer's address.
@@ -44,10 +44,10 @@
     },
     /// The peer does not know the shared key. Give both the same `key` in the settings.
     #[error("handshake with {peer}: {name} does not know the shared key; turned away")]
-    Stranger {
+    WrongKey {
         /// The peer's address.
         peer: SocketAddr,
-        /// The name that it gave.
+        /// The process that it claims to be.
         name: String,
     },
     /// The peer speaks another version. Finish the rolling upgrade.
@@ -61,19 +61,20 @@
     /// The process at the address is not the one that was dialled: it was replaced. The
     /// membership names the new one as soon as it is read.
     #[error("handshake with {peer}: dialled {wanted}, found {found} ({role:?})")]
-    Other {
+    UnexpectedPeer {
         /// The peer's address.
         peer: SocketAddr,
-        /// Who was dialled.
+        /// The process that was dialled.
         wanted: String,
-        /// Who answered.
+        /// The process that answered.
         found: String,
-        /// The role of who answered.
+        /// The role of the process that answered.
         role: Role,
     },
-    /// Nothing came for the silence of `Tempo`: the connection is open and dead. It is replaced.
+    /// Nothing was received, or a write made no progress, for `LinkTiming::idle_timeout`. The
+    /// connection is open but dead and is replaced.
     #[error("link with {peer}: silent")]
-    Silent {
+    TimedOut {
         /// The peer's address.
         peer: SocketAddr,
     },
--- a/crates/cassiarock-peer/src/handshake.rs
+++ b/crates/cassiarock-peer/src/handshake.rs
@@ -1,6 +1,6 @@
-//! Each side proves that it knows the shared key before any other frame counts.
+//! The handshake: each side proves that it knows the shared key before other frames are accepted.
 
-use crate::{Error, Key, Tempo};
+use crate::{Error, Key, LinkTiming};
 use cassiarock_id::{Name, Process};
 use cassiarock_wire::{Frame, Hello, Role, decode, encode};
 use futures_util::{SinkExt, StreamExt};
@@ -13,17 +13,17 @@
 
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
-/// The room for one read, in bytes. The library zeroes all of it before each read, and its own
-/// figure of 128 KiB took a third of the processor time of an entry with 44 quiet links. Most
+/// The read buffer of a link, in bytes. The library zeroes all of it before each read, and its
+/// default of 128 KiB took a third of the processor time of an entry with 44 idle links. Most
 /// frames are smaller than 1 KiB.
-const READ: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// How each end of a link reads.
+/// The websocket configuration of both ends of a link.
 pub(crate) fn config() -> WebSocketConfig {
-    WebSocketConfig::default().read_buffer_size(READ)
+    WebSocketConfig::default().read_buffer_size(READ_BUFFER_BYTES)
 }
 
-/// Who this process is towards its peers.
+/// What this process presents to its peers, and the timing of its links.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The process.
@@ -32,10 +32,10 @@
     pub role: Role,
     /// Its data centre.
     pub data_centre: Name,
-    /// Where others dial it.
+    /// The address at which others dial it, empty if it accepts no links.
     pub address: Name,
-    /// How soon it takes a link for dead.
-    pub tempo: Tempo,
+    /// The timeouts and redial pauses of its links.
+    pub timing: LinkTiming,
 }
 
 impl Identity {
@@ -52,46 +52,46 @@
     }
 }
 
-/// The dialled side: challenge, check, then prove.
+/// The accepting side: sends its nonce, verifies the proof of the peer, then sends its own.
 pub(crate) async fn accept(
     socket: &mut Socket,
     peer: SocketAddr,
-    me: &Identity,
+    identity: &Identity,
     key: &Key,
 ) -> Result<Hello, Error> {
     let ours = rand::random();
-    send(socket, peer, me, me.hello(ours, Vec::new())).await?;
-    let theirs = receive(socket, peer, me).await?;
-    check(key, &theirs, &ours, peer)?;
-    let proof = key.proof(&theirs.nonce, &ours, &me.process);
-    send(socket, peer, me, me.hello(ours, proof)).await?;
+    send(socket, peer, identity, identity.hello(ours, Vec::new())).await?;
+    let theirs = receive(socket, peer, identity).await?;
+    verify(key, &theirs, &ours, peer)?;
+    let proof = key.proof(&theirs.nonce, &ours, &identity.process);
+    send(socket, peer, identity, identity.hello(ours, proof)).await?;
     Ok(theirs)
 }
 
-/// The dialling side: prove, then check.
+/// The dialling side: sends its proof, then verifies that of the peer.
 pub(crate) async fn dial(
     socket: &mut Socket,
     peer: SocketAddr,
-    me: &Identity,
+    identity: &Identity,
     key: &Key,
 ) -> Result<Hello, Error> {
-    let first = receive(socket, peer, me).await?;
+    let first = receive(socket, peer, identity).await?;
     let ours = rand::random();
-    let proof = key.proof(&first.nonce, &ours, &me.process);
-    send(socket, peer, me, me.hello(ours, proof)).await?;
-    let second = receive(socket, peer, me).await?;
-    check(key, &second, &ours, peer)?;
+    let proof = key.proof(&first.nonce, &ours, &identity.process);
+    send(socket, peer, identity, identity.hello(ours, proof)).await?;
+    let second = receive(socket, peer, identity).await?;
+    verify(key, &second, &ours, peer)?;
     Ok(second)
 }
 
-fn check(key: &Key, theirs: &Hello, ours: &[u8; 16], peer: SocketAddr) -> Result<(), Error> {
+fn verify(key: &Key, theirs: &Hello, ours: &[u8; 16], peer: SocketAddr) -> Result<(), Error> {
     if theirs.version != Hello::VERSION {
         let theirs = theirs.version;
         return Err(Error::Version { peer, theirs });
     }
-    if !key.check(&theirs.proof, ours, &theirs.nonce, &theirs.process) {
+    if !key.verify(&theirs.proof, ours, &theirs.nonce, &theirs.process) {
         let name = theirs.process.to_string();
-        return Err(Error::Stranger { peer, name });
+        return Err(Error::WrongKey { peer, name });
     }
     Ok(())
 }
@@ -99,7 +99,7 @@
 async fn send(
     socket: &mut Socket,
     peer: SocketAddr,
-    me: &Identity,
+    identity: &Identity,
     hello: Hello,
 ) -> Result<(), Error> {
     let failed = |reason: String| Error::Socket {
@@ -108,14 +108,22 @@
         reason,
     };
     let bytes = encode(&Frame::Hello(hello)).map_err(|e| failed(e.to_string()))?;
-    let sent = timeout(me.tempo.handshake, socket.send(Message::binary(bytes))).await;
+    let sent = timeout(
+        identity.timing.handshake_timeout,
+        socket.send(Message::binary(bytes)),
+    )
+    .await;
     sent.map_err(|_| failed("timed out".into()))?
         .map_err(|e| failed(e.to_string()))
 }
 
-async fn receive(socket: &mut Socket, peer: SocketAddr, me: &Identity) -> Result<Hello, Error> {
+async fn receive(
+    socket: &mut Socket,
+    peer: SocketAddr,
+    identity: &Identity,
+) -> Result<Hello, Error> {
     let failed = |reason| Error::Handshake { peer, reason };
-    let message = timeout(me.tempo.handshake, socket.next())
+    let message = timeout(identity.timing.handshake_timeout, socket.next())
         .await
         .map_err(|_| failed("no hello in time"))?
         .ok_or(failed("closed before a hello"))?
--- a/crates/cassiarock-peer/src/key.rs
+++ b/crates/cassiarock-peer/src/key.rs
@@ -9,31 +9,31 @@
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// The key of the settings' `text`.
+    /// Derives the key from the `text` in the settings.
     ///
     /// ```
     /// use cassiarock_id::Process;
     /// use cassiarock_peer::Key;
     /// let me = Process::new("entry-1", 1);
     /// let proof = Key::new("secret").proof(&[1; 16], &[2; 16], &me);
-    /// assert!(Key::new("secret").check(&proof, &[1; 16], &[2; 16], &me));
-    /// assert!(!Key::new("other").check(&proof, &[1; 16], &[2; 16], &me));
+    /// assert!(Key::new("secret").verify(&proof, &[1; 16], &[2; 16], &me));
+    /// assert!(!Key::new("other").verify(&proof, &[1; 16], &[2; 16], &me));
     /// ```
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(blake3::derive_key(CONTEXT, text.as_bytes()))
     }
 
-    /// What `process` sends to prove that it knows the key: a keyed hash over the other
-    /// side's nonce, its own and its identity.
+    /// The proof that `process` knows the key: a keyed hash over the other side's nonce, its
+    /// own nonce and its identity.
     #[must_use]
     pub fn proof(&self, theirs: &[u8; 16], ours: &[u8; 16], process: &Process) -> Vec<u8> {
         self.hash(theirs, ours, process).as_bytes().to_vec()
     }
 
-    /// Whether `proof` is what `process` would send for these nonces, in constant time.
+    /// Whether `proof` is the proof of `process` for these nonces, compared in constant time.
     #[must_use]
-    pub fn check(
+    pub fn verify(
         &self,
         proof: &[u8],
         theirs: &[u8; 16],
--- a/crates/cassiarock-peer/src/lib.rs
+++ b/crates/cassiarock-peer/src/lib.rs
@@ -7,7 +7,7 @@
 mod link;
 mod links;
 mod listen;
-mod tempo;
+mod timing;
 
 pub use dial::Dialer;
 pub use error::Error;
@@ -16,4 +16,4 @@
 pub use link::{Event, Link};
 pub use links::Links;
 pub use listen::Listener;
-pub use tempo::Tempo;
+pub use timing::LinkTiming;
--- a/crates/cassiarock-peer/src/link.rs
+++ b/crates/cassiarock-peer/src/link.rs
@@ -1,4 +1,4 @@
-//! An open link: frames out by a bounded queue, frames in as events.
+//! An open link: frames are sent through a bounded queue and received as events.
 
 use crate::Error;
 use crate::handshake::Socket;
@@ -15,42 +15,42 @@
 use tokio::time::timeout;
 use tokio_tungstenite::tungstenite::Message;
 
-/// Frames waiting for a peer. A peer that is this far behind is not reading: dropping the
-/// link bounds the memory, and the work on it is settled over the next one.
-const BACKLOG: usize = 16_384;
+/// The capacity of the send queue, in frames. A peer that is this far behind is not reading:
+/// dropping the link bounds the memory, and the work on it is settled over the next one.
+const SEND_QUEUE_FRAMES: usize = 16_384;
 
-/// Frames written before the socket is flushed: enough to fill a segment, few enough that
-/// the first of them is not late.
-const BATCH: usize = 64;
+/// The most frames written before the socket is flushed: enough to fill a TCP segment, few
+/// enough not to delay the first of them.
+const MAX_BATCH_FRAMES: usize = 64;
 
-static SERIAL: AtomicU64 = AtomicU64::new(1);
+static NEXT_SERIAL: AtomicU64 = AtomicU64::new(1);
 
-/// What a link tells its process.
+/// An event of a link.
 #[derive(Debug)]
 pub enum Event {
-    /// A peer proved the key; frames can be sent.
+    /// A link opened: the peer has proved the key, and frames can be sent.
     Up(Link),
-    /// A frame came.
+    /// A frame was received.
     Frame(Arc<Hello>, Frame),
-    /// The link with this serial number is gone.
+    /// The link with this serial number has ended.
     Down(Arc<Hello>, u64),
 }
 
 /// The sending end of a link.
 #[derive(Clone, Debug)]
 pub struct Link {
-    /// Who is at the other end.
+    /// The hello of the peer.
     pub peer: Arc<Hello>,
-    /// Tells this link from an earlier one with the same peer.
+    /// Distinguishes this link from others with the same peer.
     pub serial: u64,
-    /// The address that this process dialled, if it did.
+    /// The address that this process dialled; absent for an accepted link.
     pub dialled: Option<SocketAddr>,
     frames: mpsc::Sender<Frame>,
 }
 
 impl Link {
-    /// Queues a frame. Answers whether it was queued: not if the link is gone or its peer
-    /// does not read.
+    /// Queues a frame. Returns false if the link has ended or its queue is full because the
+    /// peer does not read.
     #[must_use]
     pub fn send(&self, frame: Frame) -> bool {
         self.frames.try_send(frame).is_ok()
@@ -65,8 +65,12 @@
     pub(crate) is_dialled: bool,
 }
 
-/// Runs an open link to its end, which is also told as `Event::Down`.
-pub(crate) async fn run(opened: Opened, silence: Duration, events: mpsc::Sender<Event>) -> Error {
+/// Runs an open link until it ends, and sends `Event::Down` then.
+pub(crate) async fn run(
+    opened: Opened,
+    idle_timeout: Duration,
+    events: mpsc::Sender<Event>,
+) -> Error {
     let Opened {
         socket,
         address,
@@ -74,8 +78,8 @@
         is_dialled,
     } = opened;
     let peer = Arc::new(hello);
-    let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
-    let (frames, queue) = mpsc::channel(BACKLOG);
+    let serial = NEXT_SERIAL.fetch_add(1, Ordering::Relaxed);
+    let (frames, queue) = mpsc::channel(SEND_QUEUE_FRAMES);
     let link = Link {
         peer: Arc::clone(&peer),
         serial,
@@ -85,36 +89,36 @@
     if events.send(Event::Up(link)).await.is_err() {
         return Error::Closed { peer: address };
     }
-    let down = Down {
+    let guard = DownGuard {
         peer: Arc::clone(&peer),
         serial,
         events: events.clone(),
     };
     let (sink, stream) = socket.split();
     let error = tokio::select! {
-        error = write(sink, queue, address, silence) => error,
-        error = read(stream, &peer, &events, address, silence) => error,
+        error = write(sink, queue, address, idle_timeout) => error,
+        error = read(stream, &peer, &events, address, idle_timeout) => error,
     };
-    drop(down);
+    drop(guard);
     error
 }
 
-/// Tells the end of a link, also of one whose dialer is dropped: the process would otherwise
-/// go on sending into nothing.
-struct Down {
+/// Sends `Event::Down` when dropped, so that it is also sent for a link whose dialer is dropped.
+/// Otherwise the process would go on sending on a closed link.
+struct DownGuard {
     peer: Arc<Hello>,
     serial: u64,
     events: mpsc::Sender<Event>,
 }
 
-impl Drop for Down {
+impl Drop for DownGuard {
     fn drop(&mut self) {
         let event = Event::Down(Arc::clone(&self.peer), self.serial);
         let Err(TrySendError::Full(event)) = self.events.try_send(event) else {
             return;
         };
         let events = self.events.clone();
-        // Without a runtime the process is ending.
+        // There is no runtime only while the process ends.
         if let Ok(runtime) = Handle::try_current() {
             runtime.spawn(async move { events.send(event).await });
         }
@@ -125,18 +129,18 @@
     mut sink: SplitSink<Socket, Message>,
     mut queue: mpsc::Receiver<Frame>,
     peer: SocketAddr,
-    silence: Duration,
+    idle_timeout: Duration,
 ) -> Error {
-    let mut batch = Vec::with_capacity(BATCH);
+    let mut batch = Vec::with_capacity(MAX_BATCH_FRAMES);
     loop {
-        if queue.recv_many(&mut batch, BATCH).await == 0 {
+        if queue.recv_many(&mut batch, MAX_BATCH_FRAMES).await == 0 {
             return Error::Closed { peer };
         }
-        let sent = timeout(silence, write_batch(&mut sink, &mut batch)).await;
+        let sent = timeout(idle_timeout, write_batch(&mut sink, &mut batch)).await;
         match sent {
             Ok(Ok(())) => {}
             Ok(Err(reason)) => return socket_error("write", peer, reason),
-            Err(_) => return Error::Silent { peer },
+            Err(_) => return Error::TimedOut { peer },
         }
     }
 }
@@ -163,11 +167,11 @@
     peer: &Arc<Hello>,
     events: &mpsc::Sender<Event>,
     address: SocketAddr,
-    silence: Duration,
+    idle_timeout: Duration,
 ) -> Error {
     loop {
-        let message = match timeout(silence, stream.next()).await {
-            Err(_) => return Error::Silent { peer: address },
+        let message = match timeout(idle_timeout, stream.next()).await {
+            Err(_) => return Error::TimedOut { peer: address },
             Ok(None | Some(Ok(Message::Close(_)))) => return Error::Closed { peer: address },
             Ok(Some(Err(e))) => return socket_error("read", address, e.to_string()),
             Ok(Some(Ok(message))) => message,
--- a/crates/cassiarock-peer/src/links.rs
+++ b/crates/cassiarock-peer/src/links.rs
@@ -6,15 +6,15 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// All open links. A peer may have two for a while: a silent one that has not been found
-/// dead yet beside its replacement, or two that both sides dialled at once.
+/// All open links. A peer may have two for a while: a dead one that has not timed out yet beside
+/// its replacement, or two that both sides dialled at once.
 #[derive(Debug, Default)]
 pub struct Links {
     links: HashMap<Process, Vec<Link>>,
 }
 
 impl Links {
-    /// No links.
+    /// Creates an empty set of links.
     ///
     /// ```
     /// assert_eq!(cassiarock_peer::Links::new().len(), 0);
@@ -24,13 +24,13 @@
         Self::default()
     }
 
-    /// A link opened; frames go over it from now on.
+    /// Adds a link that has opened. Frames to its peer go over it from now on.
     pub fn open(&mut self, link: Link) {
         let process = link.peer.process.clone();
         self.links.entry(process).or_default().push(link);
     }
 
-    /// The link `serial` with `peer` is gone. True if it was the last one.
+    /// Removes the link `serial` with `peer`. Returns true if the peer had no other.
     pub fn close(&mut self, peer: &Process, serial: u64) -> bool {
         let Some(links) = self.links.get_mut(peer) else {
             return false;
@@ -43,7 +43,8 @@
         last
     }
 
-    /// Queues a frame on the newest link. False if there is none or its peer does not read.
+    /// Queues a frame on the newest link. Returns false if there is none or its queue
+    /// is full.
     #[must_use]
     pub fn send(&self, peer: &Process, frame: Frame) -> bool {
         self.newest(peer).is_some_and(|link| link.send(frame))
@@ -60,7 +61,7 @@
         self.links.get(peer).and_then(|links| links.last())
     }
 
-    /// All links, older ones too: one that is never spoken on is taken for dead.
+    /// All links, older ones too: the peer closes a link on which it receives no heartbeats.
     pub fn all(&self) -> impl Iterator<Item = &Link> {
         self.links.values().flatten()
     }
@@ -76,13 +77,13 @@
         self.links.keys()
     }
 
-    /// How many processes are linked.
+    /// The number of linked processes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.links.len()
     }
 
-    /// Whether none is linked.
+    /// Whether no process is linked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
--- a/crates/cassiarock-peer/src/listen.rs
+++ b/crates/cassiarock-peer/src/listen.rs
@@ -1,4 +1,4 @@
-//! Takes links from peers.
+//! Accepts links from peers.
 
 use crate::link::Opened;
 use crate::{Error, Event, Identity, Key, handshake, link};
@@ -16,11 +16,11 @@
 }
 
 impl Listener {
-    /// Binds `address`; port 0 lets the system choose.
+    /// Binds `address`; port 0 lets the operating system choose a port.
     ///
     /// # Errors
     ///
-    /// `Error::Bind` if the address is taken or not this VM's.
+    /// `Error::Bind` if the address is in use or does not belong to this VM.
     pub async fn bind(address: SocketAddr) -> Result<Self, Error> {
         let failed = |source| Error::Bind { address, source };
         let listener = TcpListener::bind(address).await.map_err(failed)?;
@@ -34,17 +34,17 @@
         self.address
     }
 
-    /// Takes links until the process ends; strangers are turned away and logged.
-    pub async fn run(self, me: Identity, key: Key, events: mpsc::Sender<Event>) {
+    /// Accepts links until the process ends. Peers that fail the handshake are logged and rejected.
+    pub async fn run(self, identity: Identity, key: Key, events: mpsc::Sender<Event>) {
         loop {
             let Ok((stream, address)) = self.listener.accept().await else {
-                // Out of file descriptors: trying again at once would only spin.
-                tokio::time::sleep(me.tempo.handshake).await;
+                // Out of file descriptors: retrying at once would only use processor time.
+                tokio::time::sleep(identity.timing.handshake_timeout).await;
                 continue;
             };
-            let (me, key, events) = (me.clone(), key.clone(), events.clone());
+            let (identity, key, events) = (identity.clone(), key.clone(), events.clone());
             tokio::spawn(async move {
-                let error = serve(stream, address, &me, &key, events).await;
+                let error = serve(stream, address, &identity, &key, events).await;
                 log::info!(peer:% = address; "link ended: {error}");
             });
         }
@@ -54,7 +54,7 @@
 async fn serve(
     stream: TcpStream,
     peer: SocketAddr,
-    me: &Identity,
+    identity: &Identity,
     key: &Key,
     events: mpsc::Sender<Event>,
 ) -> Error {
@@ -67,13 +67,13 @@
         return socket_error(e.to_string());
     }
     let opening = accept_async_with_config(stream, Some(handshake::config()));
-    let opened = timeout(me.tempo.handshake, opening).await;
+    let opened = timeout(identity.timing.handshake_timeout, opening).await;
     let mut socket = match opened {
         Err(_) => return socket_error("timed out".into()),
         Ok(Err(e)) => return socket_error(e.to_string()),
         Ok(Ok(socket)) => socket,
     };
-    match handshake::accept(&mut socket, peer, me, key).await {
+    match handshake::accept(&mut socket, peer, identity, key).await {
         Ok(hello) => {
             let opened = Opened {
                 socket,
@@ -81,7 +81,7 @@
                 hello,
                 is_dialled: false,
             };
-            link::run(opened, me.tempo.silence, events).await
+            link::run(opened, identity.timing.idle_timeout, events).await
         }
         Err(error) => {
             metrics::counter!("cassiarock_peer_turned_away_total").increment(1);
--- a/crates/cassiarock-peer/tests/dial.rs
+++ b/crates/cassiarock-peer/tests/dial.rs
@@ -1,9 +1,9 @@
-//! How soon a peer is found that was away, and what it costs to look for it.
+//! Redialling: how soon a returning peer is found, and how often an unreachable one is dialled.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use cassiarock_id::Process;
-use cassiarock_peer::{Dialer, Event, Identity, Key, Listener, Tempo};
+use cassiarock_peer::{Dialer, Event, Identity, Key, LinkTiming, Listener};
 use cassiarock_wire::Role;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,19 +15,19 @@
     Duration::from_millis(millis)
 }
 
-fn identity(name: &str, tempo: Tempo) -> Identity {
+fn identity(name: &str, timing: LinkTiming) -> Identity {
     Identity {
         process: Process::new(name, 1),
         role: Role::Entry,
         data_centre: "dc-1".into(),
         address: "".into(),
-        tempo,
+        timing,
     }
 }
 
-fn dial(address: SocketAddr, tempo: Tempo) -> (Dialer, Receiver<Event>) {
+fn dial(address: SocketAddr, timing: LinkTiming) -> (Dialer, Receiver<Event>) {
     let (sender, events) = channel(16);
-    let me = identity("client", tempo);
+    let me = identity("client", timing);
     let dialer = Dialer::new(address, None, me, Key::new("secret"), sender);
     (dialer, events)
 }
@@ -35,14 +35,14 @@
 async fn serve(address: SocketAddr) -> Receiver<Event> {
     let listener = Listener::bind(address).await.unwrap();
     let (sender, events) = channel(16);
-    let me = identity("server", Tempo::default());
+    let me = identity("server", LinkTiming::default());
     tokio::spawn(listener.run(me, Key::new("secret"), sender));
     events
 }
 
-/// An address that leaves the opening of connections unanswered, as a VM without power does:
-/// the queue of its listener is full.
-async fn silent() -> (SocketAddr, TcpListener, Vec<TcpStream>) {
+/// An address that leaves connection attempts unanswered, as a VM without power does: the
+/// accept queue of its listener is full.
+async fn unresponsive_address() -> (SocketAddr, TcpListener, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
@@ -55,22 +55,22 @@
 }
 
 /// An address at which nothing listens.
-async fn closed() -> SocketAddr {
+async fn closed_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
 }
 
-// A data centre had lost its power. Agents were back before the entries, and dialled them
-// while they were still down: those dials were left unanswered, and each agent waited half a
-// second for them. The entries were back in the meantime and refused callers for want of agents.
+// After a power loss of a data centre, agents that were back before the entries dialled them in
+// vain and waited half a second for each unanswered attempt. The entries were back meanwhile and
+// refused callers because no agent was linked.
 #[tokio::test]
-async fn a_peer_that_left_a_dial_unanswered_is_found_as_soon_as_it_is_back() {
-    let (address, listener, queued) = silent().await;
-    let tempo = Tempo {
-        connect: ms(50),
-        ..Tempo::default()
+async fn a_returning_peer_is_linked_soon_after_an_unanswered_dial() {
+    let (address, listener, queued) = unresponsive_address().await;
+    let timing = LinkTiming {
+        connect_resend: ms(50),
+        ..LinkTiming::default()
     };
-    let (_dialer, mut events) = dial(address, tempo);
+    let (_dialer, mut events) = dial(address, timing);
     sleep(ms(120)).await;
     drop((listener, queued));
     let _server = serve(address).await;
@@ -78,64 +78,64 @@
     assert!(matches!(up, Ok(Some(Event::Up(_)))), "{up:?}");
 }
 
-// An entry was restarted and announced itself. Its agents read that within milliseconds, and
-// yet sat out the pause that they had begun when it ended.
+// A restarted entry announces itself. Its agents read that within milliseconds, but used to wait
+// for the end of the pause that they had begun when the entry stopped.
 #[tokio::test]
-async fn a_peer_that_is_known_to_be_back_is_dialled_without_a_pause() {
-    let address = closed().await;
-    let tempo = Tempo {
-        pause: Duration::from_secs(20),
-        rest: Duration::from_secs(20),
-        ..Tempo::default()
+async fn dial_now_skips_the_pause() {
+    let address = closed_address().await;
+    let timing = LinkTiming {
+        max_redial_pause: Duration::from_secs(20),
+        max_unreachable_pause: Duration::from_secs(20),
+        ..LinkTiming::default()
     };
-    let (dialer, mut events) = dial(address, tempo);
+    let (dialer, mut events) = dial(address, timing);
     // The pauses double: the next one is longer than this test.
     sleep(ms(800)).await;
     let _server = serve(address).await;
-    dialer.nudge();
+    dialer.dial_now();
     let up = timeout(ms(300), events.recv()).await;
     assert!(matches!(up, Ok(Some(Event::Up(_)))), "{up:?}");
 }
 
-// The same while a dial is left unanswered: that one went to the VM before the entry was there.
+// The same while an attempt is unanswered that was sent before the entry listened.
 #[tokio::test]
-async fn a_peer_that_is_known_to_be_back_is_dialled_anew_while_a_dial_is_unanswered() {
-    let (address, listener, queued) = silent().await;
+async fn dial_now_replaces_an_unanswered_dial() {
+    let (address, listener, queued) = unresponsive_address().await;
     let long = Duration::from_secs(20);
-    let tempo = Tempo {
-        connect: long,
-        handshake: long,
-        ..Tempo::default()
+    let timing = LinkTiming {
+        connect_resend: long,
+        handshake_timeout: long,
+        ..LinkTiming::default()
     };
-    let (dialer, mut events) = dial(address, tempo);
+    let (dialer, mut events) = dial(address, timing);
     sleep(ms(120)).await;
     drop((listener, queued));
     let _server = serve(address).await;
-    dialer.nudge();
+    dialer.dial_now();
     let up = timeout(ms(200), events.recv()).await;
     assert!(matches!(up, Ok(Some(Event::Up(_)))), "{up:?}");
 }
 
 #[tokio::test]
-async fn a_nudge_leaves_an_open_link_alone() {
-    let address = closed().await;
+async fn dial_now_keeps_an_open_link() {
+    let address = closed_address().await;
     let _server = serve(address).await;
-    let (dialer, mut events) = dial(address, Tempo::default());
-    // The link ends when nobody holds it.
+    let (dialer, mut events) = dial(address, LinkTiming::default());
+    // Holds the link, which ends when its last sender is dropped.
     let up = events.recv().await;
     assert!(matches!(up, Some(Event::Up(_))), "{up:?}");
-    dialer.nudge();
+    dialer.dial_now();
     let next = timeout(ms(300), events.recv()).await;
     assert!(next.is_err(), "{next:?}");
 }
 
-// An agent gave up a link. Its process was never told that the link was gone, and went on
-// sending heartbeats into nothing.
+// An agent that dropped a dialer received no event for the end of the link, and went on sending
+// heartbeats on it.
 #[tokio::test]
-async fn a_dialer_that_is_dropped_tells_the_end_of_its_link() {
-    let address = closed().await;
+async fn dropping_a_dialer_sends_the_end_of_its_link() {
+    let address = closed_address().await;
     let _server = serve(address).await;
-    let (dialer, mut events) = dial(address, Tempo::default());
+    let (dialer, mut events) = dial(address, LinkTiming::default());
     let up = events.recv().await;
     assert!(matches!(up, Some(Event::Up(_))), "{up:?}");
     drop(dialer);
@@ -143,25 +143,28 @@
     assert!(matches!(next, Ok(Some(Event::Down(..)))), "{next:?}");
 }
 
-// Entries that had been replaced long ago were dialled for ever at the same pace, by all agents.
+// All agents went on dialling entries that had been replaced long ago, at an unchanged rate.
 #[tokio::test]
-async fn a_peer_that_is_away_for_long_is_dialled_seldom() {
+async fn a_peer_that_is_long_unreachable_is_dialled_less_often() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let tempo = Tempo {
-        pause: ms(20),
-        patience: ms(300),
-        rest: Duration::from_secs(60),
-        ..Tempo::default()
+    let timing = LinkTiming {
+        max_redial_pause: ms(20),
+        unreachable_limit: ms(300),
+        max_unreachable_pause: Duration::from_secs(60),
+        ..LinkTiming::default()
     };
-    let (_dialer, _events) = dial(listener.local_addr().unwrap(), tempo);
-    let began = Instant::now();
+    let (_dialer, _events) = dial(listener.local_addr().unwrap(), timing);
+    let started_at = Instant::now();
     let (mut early, mut late) = (0, 0);
-    while let Ok(Ok(_)) =
-        timeout(ms(2_500).saturating_sub(began.elapsed()), listener.accept()).await
+    while let Ok(Ok(_)) = timeout(
+        ms(2_500).saturating_sub(started_at.elapsed()),
+        listener.accept(),
+    )
+    .await
     {
-        if began.elapsed() < ms(300) {
+        if started_at.elapsed() < ms(300) {
             early += 1;
-        } else if began.elapsed() > ms(1_000) {
+        } else if started_at.elapsed() > ms(1_000) {
             late += 1;
         }
     }
--- a/crates/cassiarock-peer/tests/link.rs
+++ b/crates/cassiarock-peer/tests/link.rs
@@ -1,9 +1,9 @@
-//! Links between two ends in one process, over real sockets.
+//! Links over real sockets between two ends in one process.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use cassiarock_id::{Job, Process, Wall};
-use cassiarock_peer::{Dialer, Event, Identity, Key, Link, Listener, Tempo};
+use cassiarock_peer::{Dialer, Event, Identity, Key, Link, LinkTiming, Listener};
 use cassiarock_wire::{Frame, Role};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
         role: Role::Entry,
         data_centre: "dc-1".into(),
         address: "".into(),
-        tempo: Tempo::default(),
+        timing: LinkTiming::default(),
     }
 }
 
@@ -34,7 +34,7 @@
     (address, events)
 }
 
-/// Dials as a client with this key; the link lives as long as the dialer.
+/// Dials as a client with this key; the link ends when the dialer is dropped.
 fn dial(address: SocketAddr, wanted: Option<Process>, key: &str) -> (Dialer, Receiver<Event>) {
     let (sender, events) = channel(16);
     let dialer = Dialer::new(address, wanted, identity("client"), Key::new(key), sender);
@@ -61,36 +61,36 @@
     assert!(matches!(client.recv().await, Some(Event::Frame(_, frame)) if frame == find(2)));
 }
 
-// A process with another key dials an agent. The agent must not take its frames: it
-// turns the stranger away and tells its own process nothing.
+// A process with another key dials a listener, which must reject it, accept no frames from it
+// and send no event.
 #[tokio::test]
-async fn a_stranger_is_turned_away() {
+async fn a_peer_with_another_key_is_rejected() {
     let (address, mut server) = listen("secret").await;
     let (_dialer, mut client) = dial(address, None, "wrong");
     let seen = timeout(Duration::from_millis(500), server.recv()).await;
-    assert!(seen.is_err(), "the stranger was let in: {seen:?}");
+    assert!(seen.is_err(), "the peer was accepted: {seen:?}");
     assert!(client.try_recv().is_err());
 }
 
-// An agent is replaced at the same address. An entry that still dials the old one must
-// not take the new one for it: the new one's ledger is empty.
+// An agent is replaced at the same address. An entry that still dials the old incarnation must
+// reject the new one, whose ledger is empty.
 #[tokio::test]
-async fn another_incarnation_is_not_taken_for_the_one_dialled() {
+async fn another_incarnation_than_the_dialled_one_is_rejected() {
     let (address, _server) = listen("secret").await;
     let old = Some(Process::new("server", 0));
     let (_dialer, mut client) = dial(address, old, "secret");
     let seen = timeout(Duration::from_millis(500), client.recv()).await;
-    assert!(seen.is_err(), "taken for the old one: {seen:?}");
+    assert!(seen.is_err(), "accepted as the old incarnation: {seen:?}");
 }
 
-// Something between two ends loses the connection: it stays open and nothing comes any
-// more. The link must be found dead and replaced by a new one.
+// A device on the path drops the connection: it stays open, but nothing arrives any more. The
+// link must time out and be replaced by a new one.
 #[tokio::test]
 async fn a_silent_link_is_closed_and_dialled_again() {
     let (address, mut server) = listen("secret").await;
     let (_dialer, mut client) = dial(address, None, "secret");
     let first = up(&mut client).await;
-    let _kept = up(&mut server).await;
+    let _server_link = up(&mut server).await;
     let down = client.recv().await;
     assert!(matches!(down, Some(Event::Down(_, serial)) if serial == first.serial));
     let second = up(&mut client).await;
--- a/crates/cassiarock-wire/src/work.rs
+++ b/crates/cassiarock-wire/src/work.rs
@@ -16,7 +16,8 @@
     /// The entry's membership version.
     pub view: u64,
     /// The log offset up to which the entry's state reaches.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_offset: u64,
 }
 
 /// An agent's answer to a ping.
@@ -27,7 +28,8 @@
     /// The agent's membership version.
     pub view: u64,
     /// The log offset up to which the agent's state reaches.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_offset: u64,
     /// How long ago the agent adopted `view`, in milliseconds.
     pub adopted_ms: u64,
     /// The agent's load.
