--- a/crates/cassiarock-id/src/job.rs
+++ b/crates/cassiarock-id/src/job.rs
@@ -6,19 +6,19 @@
 use std::str::FromStr;
 use uuid::{NoContext, Timestamp, Uuid};
 
-/// Why a text is not a job id.
+/// Why a text or UUID is not a valid job id.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// The text is no UUID. Send the usual form of 36 characters.
+    /// The text is not a UUID. Send the usual form of 36 characters.
     #[error("the job id is not a UUID")]
     Malformed,
-    /// The UUID is not of version 7. Issue ids with a UUID v7 generator: the id's
-    /// issue time is what keeps a very late resubmission from looking new.
+    /// The UUID is not of version 7. Issue ids with a UUID v7 generator: a very late
+    /// resubmission is told from a new job by the issue time in its id.
     #[error("the job id is a UUID, but not of version 7")]
     Version,
 }
 
-/// The id of a job, chosen by its caller and kept over resubmissions.
+/// The id of a job, chosen by its caller and unchanged in resubmissions.
 ///
 /// ```
 /// use cassiarock_id::{Job, Wall};
@@ -31,7 +31,7 @@
 pub struct Job(Uuid);
 
 impl Job {
-    /// A new id issued at `now`, random in its other bits.
+    /// Creates an id with the issue time `now` and random other bits.
     #[must_use]
     pub fn new(now: Wall) -> Self {
         let millis = now.as_millis();
@@ -57,7 +57,7 @@
         Self(uuid::Builder::from_unix_timestamp_millis(issued.as_millis(), &random).into_uuid())
     }
 
-    /// When the caller issued the id, by the caller's clock.
+    /// The time at which the caller issued the id, by the caller's clock.
     #[must_use]
     pub fn issued(self) -> Wall {
         let bytes = self.0.as_bytes();
--- a/crates/cassiarock-id/src/lib.rs
+++ b/crates/cassiarock-id/src/lib.rs
@@ -1,4 +1,4 @@
-//! Names, ids and wall-clock times shared by all packages.
+//! Names, ids and wall-clock times shared by all crates.
 
 mod job;
 mod process;
--- a/crates/cassiarock-id/src/process.rs
+++ b/crates/cassiarock-id/src/process.rs
@@ -7,8 +7,8 @@
 /// A shared immutable name.
 pub type Name = Arc<str>;
 
-/// One life of one process: a restart under the same name is another incarnation,
-/// because all that the earlier one kept in memory is gone.
+/// One incarnation of a process. A restart under the same name is another incarnation,
+/// because everything that the earlier one held in memory is lost.
 ///
 /// ```
 /// use cassiarock_id::Process;
@@ -20,12 +20,12 @@
 pub struct Process {
     /// The name from the process's settings.
     pub name: Name,
-    /// Drawn anew at each start: the wall-clock start time in milliseconds.
+    /// The wall-clock time of the start, in milliseconds.
     pub incarnation: u64,
 }
 
 impl Process {
-    /// The process `name` in its life `incarnation`.
+    /// The incarnation `incarnation` of the process `name`.
     pub fn new(name: impl Into<Name>, incarnation: u64) -> Self {
         Self {
             name: name.into(),
--- a/crates/cassiarock-id/src/task.rs
+++ b/crates/cassiarock-id/src/task.rs
@@ -1,16 +1,16 @@
-//! The place of a task in its job.
+//! The index of a task in its job.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The index of a task in its job's list, from 0. The caller's own task ids stay at
-/// the entry; between processes the index is enough and shorter.
+/// The index of a task in its job's list, from 0. The caller's own task ids are
+/// kept at the entry; between processes the index is sufficient and shorter.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Task(pub u16);
 
 impl Task {
-    /// The index for use with slices.
+    /// The index as a slice index.
     #[must_use]
     pub fn index(self) -> usize {
         usize::from(self.0)
--- a/crates/cassiarock-id/src/wall.rs
+++ b/crates/cassiarock-id/src/wall.rs
@@ -33,7 +33,8 @@
         self.0
     }
 
-    /// This VM's clock now. Only shells call it: decisions take the time as an argument.
+    /// The current time of this VM's clock. Only code that does I/O calls it; decision logic takes
+    /// the time as an argument.
     #[must_use]
     pub fn now() -> Self {
         let elapsed = SystemTime::now()
@@ -42,19 +43,19 @@
         Self(u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
     }
 
-    /// This time moved on by `duration`.
+    /// The time `duration` after this one.
     #[must_use]
     pub fn plus(self, duration: Duration) -> Self {
         Self(self.0.saturating_add(millis(duration)))
     }
 
-    /// This time moved back by `duration`, at the earliest the epoch.
+    /// The time `duration` before this one, but not before the epoch.
     #[must_use]
     pub fn minus(self, duration: Duration) -> Self {
         Self(self.0.saturating_sub(millis(duration)))
     }
 
-    /// The time passed since `earlier`; zero if it lies ahead.
+    /// The time from `earlier` to this one; zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
--- a/crates/cassiarock-id/tests/job.rs
+++ b/crates/cassiarock-id/tests/job.rs
@@ -1,4 +1,4 @@
-//! Job ids: what is taken for one, and the issue time they carry.
+//! Job ids: which texts are accepted, and the issue time in them.
 
 use cassiarock_id::{Error, Job, Wall};
 use yare::parameterized;
@@ -8,12 +8,12 @@
     too_long = { "01a238dd-2a28-79e2-b724-46408250414a0", Error::Malformed },
     random = { "8b2f7c52-6f0c-4d7e-9f4e-0d9a3d1f5b11", Error::Version },
 )]
-fn a_text_that_is_no_uuid_of_version_7_is_no_job_id(text: &str, error: Error) {
+fn a_text_that_is_not_a_uuid_v7_is_rejected(text: &str, error: Error) {
     assert_eq!(text.parse::<Job>(), Err(error));
 }
 
 #[test]
-fn two_ids_of_one_moment_differ() {
+fn ids_issued_at_the_same_time_differ() {
     let now = Wall::from_millis(1_700_000_000_123);
     assert_ne!(Job::new(now), Job::new(now));
 }
