--- a/crates/cassiarock-entry/src/state/claimed.rs
+++ b/crates/cassiarock-entry/src/state/claimed.rs
@@ -9,7 +9,7 @@
 use cassiarock_policy::dispatch;
 use cassiarock_policy::place::TaskKey;
 use cassiarock_process::Now;
-use cassiarock_wire::{Answered, Ended, Frame, Item, Rejected, Reported, Run};
+use cassiarock_wire::{Answered, Ended, Frame, Rejected, Reported, Run, TaskStart};
 use std::time::Duration;
 
 /// How long after the deadline to wait for the proof that nothing ran. The answer is due at
@@ -280,7 +280,7 @@
         start_by: start.start_by,
         kind: pending.submission.kind.clone(),
         limit_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
-        tasks: vec![Item {
+        tasks: vec![TaskStart {
             task: start.task,
             placement: start.placement,
             lateness: 0,
--- a/crates/cassiarock-entry/src/state/follow.rs
+++ b/crates/cassiarock-entry/src/state/follow.rs
@@ -7,7 +7,7 @@
 use cassiarock_claim::owner::Event;
 use cassiarock_id::{Job, Name, Process};
 use cassiarock_process::Now;
-use cassiarock_wire::{Frame, Whole};
+use cassiarock_wire::{FinalAnswer, Frame};
 use std::time::Duration;
 
 /// How long a link with the owner may take to open. Longer than a handshake across regions,
@@ -233,26 +233,26 @@
         if let Some((_, answer)) = self.answers.get(&job) {
             return vec![answer_frame(entry.clone(), job, answer)];
         }
-        let none = Whole {
+        let none = FinalAnswer {
             job,
             owned: false,
             answer: None,
         };
         let Some(pending) = self.pending_jobs.get_mut(&job) else {
-            return vec![Action::Send(entry.clone(), Frame::Whole(none))];
+            return vec![Action::Send(entry.clone(), Frame::FinalAnswer(none))];
         };
         if !owns_attempt(pending, ballot) {
-            return vec![Action::Send(entry.clone(), Frame::Whole(none))];
+            return vec![Action::Send(entry.clone(), Frame::FinalAnswer(none))];
         }
         if !pending.attached.contains(entry) {
             pending.attached.push(entry.clone());
         }
-        let running = Whole {
+        let running = FinalAnswer {
             job,
             owned: true,
             answer: None,
         };
-        let mut actions = vec![Action::Send(entry.clone(), Frame::Whole(running))];
+        let mut actions = vec![Action::Send(entry.clone(), Frame::FinalAnswer(running))];
         if cancel {
             actions.extend(self.stop(job, StopReason::Cancelled, now));
         }
@@ -260,7 +260,7 @@
     }
 
     /// Handles what an entry says of a job: its answer, or whether it owns the job.
-    pub(super) fn handle_whole(&mut self, from: &Process, whole: Whole, now: Now) -> Vec<Action> {
+    pub(super) fn handle_whole(&mut self, from: &Process, whole: FinalAnswer, now: Now) -> Vec<Action> {
         let job = whole.job;
         let answer = whole.answer.as_deref().and_then(answer::decode);
         let mut actions = self.update_lookup(job, whole.owned, answer.as_ref());
@@ -305,12 +305,12 @@
 
 /// The frame that sends a final answer to an attached entry.
 pub(super) fn answer_frame(entry: Process, job: Job, answer: &Answer) -> Action {
-    let whole = Whole {
+    let whole = FinalAnswer {
         job,
         owned: true,
         answer: answer::encode(answer),
     };
-    Action::Send(entry, Frame::Whole(whole))
+    Action::Send(entry, Frame::FinalAnswer(whole))
 }
 
 fn is_owned_by(pending: &PendingJob, entry: &Process) -> bool {
--- a/crates/cassiarock-entry/src/state/mod.rs
+++ b/crates/cassiarock-entry/src/state/mod.rs
@@ -131,9 +131,9 @@
                 ballot,
                 cancel,
             } => self.handle_attach(from, job, ballot.as_ref(), cancel, now),
-            Frame::Whole(whole) => self.handle_whole(from, whole, now),
+            Frame::FinalAnswer(whole) => self.handle_whole(from, whole, now),
             Frame::Entries(entries) => self.handle_entries(entries),
-            Frame::News(news) => self.apply_usage_news(from, &news, now),
+            Frame::UsageUpdates(news) => self.apply_usage_news(from, &news, now),
             Frame::AskState => {
                 let state = Frame::State(Arc::clone(&self.rules));
                 vec![Action::Send(from.clone(), state)]
