--- a/crates/cassiarock-entry/src/state/follow.rs
+++ b/crates/cassiarock-entry/src/state/follow.rs
@@ -260,7 +260,12 @@
     }
 
     /// Handles what an entry says of a job: its answer, or whether it owns the job.
-    pub(super) fn handle_whole(&mut self, from: &Process, whole: FinalAnswer, now: Now) -> Vec<Action> {
+    pub(super) fn handle_whole(
+        &mut self,
+        from: &Process,
+        whole: FinalAnswer,
+        now: Now,
+    ) -> Vec<Action> {
         let job = whole.job;
         let answer = whole.answer.as_deref().and_then(answer::decode);
         let mut actions = self.update_lookup(job, whole.owned, answer.as_ref());
