--- a/crates/cassiarock-operator/src/error.rs
+++ b/crates/cassiarock-operator/src/error.rs
@@ -21,7 +21,7 @@
     },
     /// The HTTP client could not be made; the system lacks something it needs.
     #[error("set up the HTTP client: {reason}")]
-    Client {
+    HttpClient {
         /// What the library said.
         reason: String,
     },
@@ -39,7 +39,7 @@
     /// A peer answered with something that the client does not understand. Check that
     /// the address is that of the named role and that the versions fit.
     #[error("{step}: {peer} answered what cannot be read: {reason}")]
-    Garbled {
+    InvalidResponse {
         /// What the client was doing.
         step: &'static str,
         /// The address of the peer.
@@ -75,7 +75,7 @@
     },
     /// The named thing does not exist. List what there is, and use its exact name.
     #[error("{step}: there is no {what}")]
-    Unknown {
+    NotFound {
         /// What the client was doing.
         step: &'static str,
         /// The kind and name of the missing thing.
@@ -88,20 +88,20 @@
     ///
     /// ```
     /// use cassiarock_operator::{Error, Exit};
-    /// let error = Error::Unknown { step: "move the rule", what: "rule `payments`".to_owned() };
-    /// assert_eq!(error.exit(), Exit::Unknown);
+    /// let error = Error::NotFound { step: "move the rule", what: "rule `payments`".to_owned() };
+    /// assert_eq!(error.exit(), Exit::NotFound);
     /// ```
     #[must_use]
     pub const fn exit(&self) -> Exit {
         match self {
             Self::Settings(_) | Self::Scenario(_) | Self::Input { .. } => Exit::Usage,
-            Self::Client { .. } | Self::Unreachable { .. } | Self::Garbled { .. } => {
+            Self::HttpClient { .. } | Self::Unreachable { .. } | Self::InvalidResponse { .. } => {
                 Exit::Unreachable
             }
             Self::Conflict { .. } => Exit::Conflict,
             Self::Refused { .. } => Exit::Refused,
             Self::Unsettled { .. } => Exit::Failed,
-            Self::Unknown { .. } => Exit::Unknown,
+            Self::NotFound { .. } => Exit::NotFound,
         }
     }
 }
--- a/crates/cassiarock-operator/src/exit.rs
+++ b/crates/cassiarock-operator/src/exit.rs
@@ -18,7 +18,7 @@
     /// Accepted, but not finished or not in force everywhere within the wait.
     Pending,
     /// There is no such job, rule or upstream.
-    Unknown,
+    NotFound,
     /// The job was cancelled.
     Cancelled,
 }
@@ -41,7 +41,7 @@
             Self::Failed => 5,
             Self::Unreachable => 6,
             Self::Pending => 7,
-            Self::Unknown => 8,
+            Self::NotFound => 8,
             Self::Cancelled => 9,
         }
     }
--- a/crates/cassiarock-operator/src/http.rs
+++ b/crates/cassiarock-operator/src/http.rs
@@ -35,7 +35,7 @@
     /// that the settings name, whatever proxy the operator's shell is set up for.
     pub fn new(timeout: Duration) -> Result<Self, Error> {
         let client = Client::builder().no_proxy().build();
-        let client = client.map_err(|error| Error::Client {
+        let client = client.map_err(|error| Error::HttpClient {
             reason: error.to_string(),
         })?;
         Ok(Self { client, timeout })
@@ -92,7 +92,7 @@
         .map_err(|error| lost(step, peer, &error))?;
     let body = serde_json::from_slice(&bytes).map_err(|error| Loss {
         sent: true,
-        error: Error::Garbled {
+        error: Error::InvalidResponse {
             step,
             peer: peer.to_owned(),
             reason: format!("status {status}, body is not JSON: {error}"),
--- a/crates/cassiarock-operator/src/lib.rs
+++ b/crates/cassiarock-operator/src/lib.rs
@@ -21,6 +21,6 @@
 pub use exit::Exit;
 pub use program::main;
 pub use report::Report;
-pub use run::{act, run};
+pub use run::{execute, run};
 pub use table::Table;
-pub use why::{Line, Story};
+pub use why::{LogLine, RequestTrace};
--- a/crates/cassiarock-operator/src/run/answer.rs
+++ b/crates/cassiarock-operator/src/run/answer.rs
@@ -52,11 +52,12 @@
 impl Answer {
     /// Reads a reply of the entry at `peer`.
     pub fn new(step: &'static str, peer: &str, reply: Reply) -> Result<Self, Error> {
-        let outcome = Outcome::deserialize(&reply.body).map_err(|error| Error::Garbled {
-            step,
-            peer: peer.to_owned(),
-            reason: format!("status {}: {error}", reply.status),
-        })?;
+        let outcome =
+            Outcome::deserialize(&reply.body).map_err(|error| Error::InvalidResponse {
+                step,
+                peer: peer.to_owned(),
+                reason: format!("status {}: {error}", reply.status),
+            })?;
         Ok(Self {
             body: reply.body,
             outcome,
@@ -83,7 +84,7 @@
             Outcome::RefusedNotRun { .. } => Exit::Refused,
             Outcome::Cancelled { .. } => Exit::Cancelled,
             Outcome::Running => Exit::Pending,
-            Outcome::Unknown { .. } => Exit::Unknown,
+            Outcome::Unknown { .. } => Exit::NotFound,
             Outcome::Conflict { .. } => Exit::Conflict,
             Outcome::Invalid { .. } => Exit::Usage,
             Outcome::Unavailable { .. } => Exit::Unreachable,
--- a/crates/cassiarock-operator/src/run/cancel.rs
+++ b/crates/cassiarock-operator/src/run/cancel.rs
@@ -36,7 +36,7 @@
         }),
         Some(Err(error)) => Err(error),
         Some(Ok(answer)) => Ok(answer.report()),
-        None => Err(Error::Unknown {
+        None => Err(Error::NotFound {
             step: STEP,
             what: "entry in the settings".to_owned(),
         }),
--- a/crates/cassiarock-operator/src/run/explain.rs
+++ b/crates/cassiarock-operator/src/run/explain.rs
@@ -25,7 +25,7 @@
         "accelerators": explain.accelerators,
         "repeatable": explain.repeatable,
     });
-    let mut last = Error::Unknown {
+    let mut last = Error::NotFound {
         step: STEP,
         what: "entry in the settings".to_owned(),
     };
@@ -48,11 +48,12 @@
 }
 
 fn shown(entry: &str, reply: Reply) -> Result<Report, Error> {
-    let explanation = Explanation::deserialize(reply.body).map_err(|error| Error::Garbled {
-        step: STEP,
-        peer: entry.to_owned(),
-        reason: error.to_string(),
-    })?;
+    let explanation =
+        Explanation::deserialize(reply.body).map_err(|error| Error::InvalidResponse {
+            step: STEP,
+            peer: entry.to_owned(),
+            reason: error.to_string(),
+        })?;
     let head = Table::new(["rule", "decides", "why"]);
     let table = explanation.passed.iter().fold(head, |table, passed| {
         table.with_row([&*passed.rule, "no", &passed.reason])
--- a/crates/cassiarock-operator/src/run/mod.rs
+++ b/crates/cassiarock-operator/src/run/mod.rs
@@ -39,7 +39,7 @@
             config: Some(config),
             file,
         }) => rules::check_alone(file, config),
-        action => act(&Client::load(&command.settings)?, action).await,
+        action => execute(&Client::load(&command.settings)?, action).await,
     }
 }
 
@@ -48,14 +48,14 @@
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
 /// # async fn main() {
-/// use cassiarock_operator::{Action, Exit, act};
+/// use cassiarock_operator::{Action, Exit, execute};
 /// use cassiarock_settings::Client;
 /// let nowhere = Client::new("ana", "http://127.0.0.1:1").with_status(["http://127.0.0.1:1"]);
-/// let report = act(&nowhere, &Action::Status).await.unwrap();
+/// let report = execute(&nowhere, &Action::Status).await.unwrap();
 /// assert_eq!(report.exit, Exit::Unreachable);
 /// # }
 /// ```
-pub async fn act(settings: &Client, action: &Action) -> Result<Report, Error> {
+pub async fn execute(settings: &Client, action: &Action) -> Result<Report, Error> {
     match action {
         Action::Submit(submit) => submit::run(settings, submit).await,
         Action::Cancel(job) => cancel::run(settings, *job).await,
--- a/crates/cassiarock-operator/src/run/platform.rs
+++ b/crates/cassiarock-operator/src/run/platform.rs
@@ -127,11 +127,11 @@
         Reason::Edit {
             error: edit::Error::Unknown(name),
             ..
-        } => Error::Unknown {
+        } => Error::NotFound {
             step,
             what: format!("rule `{name}`"),
         },
-        Reason::UnknownAgent(name) => Error::Unknown {
+        Reason::UnknownAgent(name) => Error::NotFound {
             step,
             what: format!("agent `{name}`"),
         },
--- a/crates/cassiarock-operator/src/run/why.rs
+++ b/crates/cassiarock-operator/src/run/why.rs
@@ -1,9 +1,9 @@
 //! Explaining a request from logs.
 
-use crate::{Error, Report, Story, Why};
+use crate::{Error, Report, RequestTrace, Why};
 use std::io::Read;
 
-/// Reads the logs and tells the request's story.
+/// Reads the logs and tells the request's trace.
 pub fn run(why: &Why) -> Result<Report, Error> {
     let mut text = String::new();
     if why.logs.is_empty() {
@@ -16,11 +16,11 @@
         text.push_str(&String::from_utf8_lossy(&bytes));
         text.push('\n');
     }
-    let story = Story::new(&why.id, text.lines()).ok_or_else(|| Error::Unknown {
+    let trace = RequestTrace::new(&why.id, text.lines()).ok_or_else(|| Error::NotFound {
         step: "explain a request",
         what: format!("line about `{}` in these logs", why.id),
     })?;
-    Ok(Report::new(&story, &story))
+    Ok(Report::new(&trace, &trace))
 }
 
 fn input(input: &str, error: &std::io::Error) -> Error {
--- a/crates/cassiarock-operator/src/why/cause.rs
+++ b/crates/cassiarock-operator/src/why/cause.rs
@@ -1,10 +1,10 @@
 //! Which decision settled a request, and which input decided it.
 
-use super::Line;
+use super::LogLine;
 
 /// The last line that settles a request, told with what led to it.
-pub(super) fn cause(lines: &[Line], is_about: impl Fn(&Line) -> bool) -> String {
-    let about: Vec<&Line> = lines.iter().filter(|line| is_about(line)).collect();
+pub(super) fn cause(lines: &[LogLine], is_about: impl Fn(&LogLine) -> bool) -> String {
+    let about: Vec<&LogLine> = lines.iter().filter(|line| is_about(line)).collect();
     let Some(settled) = about.iter().rev().find(|line| settles(line)) else {
         return unsettled(&about);
     };
@@ -19,14 +19,14 @@
 }
 
 /// Lines that end a request's way through an entry.
-fn settles(line: &Line) -> bool {
+fn settles(line: &LogLine) -> bool {
     const ENDS: [&str; 5] = ["completed", "failed", "refused", "impossible", "abandoned"];
     let malformed = line.what.starts_with("malformed") || line.what.starts_with("refused:");
     malformed || line.what == "no such queue" || ENDS.contains(&line.what.as_str())
 }
 
 /// What a process lost or met that may have hurt the requests it had.
-fn hurts(line: &Line) -> bool {
+fn hurts(line: &LogLine) -> bool {
     let kinds = [
         "lost",
         "link lost",
@@ -38,7 +38,7 @@
     kinds.iter().any(|kind| line.what.starts_with(kind))
 }
 
-fn sentence(line: &Line) -> String {
+fn sentence(line: &LogLine) -> String {
     let of = |name: &str| line.field(name).unwrap_or_else(|| "?".to_owned());
     let process = &line.process;
     match line.what.as_str() {
@@ -87,7 +87,7 @@
 }
 
 /// The upstreams that one of its tasks has crashed.
-fn crashed(line: &Line) -> String {
+fn crashed(line: &LogLine) -> String {
     let crashed = line.field("crashed").unwrap_or_default();
     if crashed.is_empty() {
         return crashed;
@@ -99,7 +99,7 @@
 }
 
 /// What happened to its tasks before, by kind: ends, moves, losses.
-fn led_to(settled: &Line, about: &[&Line]) -> String {
+fn led_to(settled: &LogLine, about: &[&LogLine]) -> String {
     let mut told = Vec::new();
     for line in about {
         let agent = line.field("agent").unwrap_or_else(|| line.process.clone());
@@ -136,7 +136,7 @@
 /// Events named in a cause.
 const MOST: usize = 4;
 
-fn unsettled(about: &[&Line]) -> String {
+fn unsettled(about: &[&LogLine]) -> String {
     let Some(last) = about.last() else {
         return "nothing is known".to_owned();
     };
--- a/crates/cassiarock-operator/src/why/line.rs
+++ b/crates/cassiarock-operator/src/why/line.rs
@@ -10,7 +10,7 @@
 /// A structured line. Whatever stands before it on its line in the file, as a collector's
 /// time and host, names the process if the line itself does not.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct LogLine {
     /// When, as the process's clock said.
     pub at: String,
     /// The process.
@@ -25,7 +25,7 @@
     pub fields: Map<String, Value>,
 }
 
-impl Line {
+impl LogLine {
     /// A line of a log; none if it is no structured one.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
@@ -73,7 +73,7 @@
     }
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for LogLine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {} {}", self.at, self.process, self.what)?;
         for name in self.fields.keys() {
--- a/crates/cassiarock-operator/src/why/mod.rs
+++ b/crates/cassiarock-operator/src/why/mod.rs
@@ -1,9 +1,9 @@
-//! The story of one request, from the log lines of all processes.
+//! The trace of one request, from the log lines of all processes.
 
 mod cause;
 mod line;
 
-pub use line::Line;
+pub use line::LogLine;
 
 use cause::cause;
 use serde::Serialize;
@@ -12,31 +12,31 @@
 
 /// What happened to a request, in order.
 #[derive(Clone, Debug, Serialize)]
-pub struct Story {
+pub struct RequestTrace {
     /// The id that was asked for.
     pub id: String,
     /// The lines about the request and its job, and what the processes that had it lost,
     /// regained or changed meanwhile.
-    pub lines: Vec<Line>,
+    pub lines: Vec<LogLine>,
     /// The decision that settled the outcome, and the input that decided it.
     pub cause: String,
 }
 
-impl Story {
-    /// The story of the request or job `id`; none if no line is about it.
+impl RequestTrace {
+    /// The trace of the request or job `id`; none if no line is about it.
     ///
     /// ```
-    /// use cassiarock_operator::Story;
+    /// use cassiarock_operator::RequestTrace;
     /// let log = r#"{"at":"00:00:00.100","process":"entry-1","what":"admitted","request":"r-1","job":"j"}
     /// {"at":"00:00:00.900","process":"entry-1","what":"refused","request":"r-1","job":"j","reason":"overload","queue":9}"#;
-    /// let story = Story::new("r-1", log.lines()).unwrap();
-    /// assert!(story.cause.contains("overload"));
-    /// assert!(Story::new("r-2", log.lines()).is_none());
+    /// let trace = RequestTrace::new("r-1", log.lines()).unwrap();
+    /// assert!(trace.cause.contains("overload"));
+    /// assert!(RequestTrace::new("r-2", log.lines()).is_none());
     /// ```
     pub fn new<'a>(id: &str, text: impl Iterator<Item = &'a str>) -> Option<Self> {
-        let mut all: Vec<Line> = text.filter_map(Line::parse).collect();
+        let mut all: Vec<LogLine> = text.filter_map(LogLine::parse).collect();
         all.sort_by(|a, b| a.at.cmp(&b.at));
-        let own = |line: &&Line| line.request == id || line.job == id;
+        let own = |line: &&LogLine| line.request == id || line.job == id;
         let jobs: BTreeSet<String> = all
             .iter()
             .filter(own)
@@ -44,20 +44,20 @@
             .filter(|job| !job.is_empty())
             .collect();
         let is_about =
-            |line: &Line| line.request == id || line.job == id || jobs.contains(&line.job);
-        let about: Vec<&Line> = all.iter().filter(|line| is_about(line)).collect();
+            |line: &LogLine| line.request == id || line.job == id || jobs.contains(&line.job);
+        let about: Vec<&LogLine> = all.iter().filter(|line| is_about(line)).collect();
         let (first, last) = (about.first()?.at.clone(), about.last()?.at.clone());
         let processes: BTreeSet<String> = about.iter().map(|line| line.process.clone()).collect();
         let named: BTreeSet<String> = about.iter().flat_map(|line| line.named()).collect();
-        let is_near = |line: &Line| {
+        let is_near = |line: &LogLine| {
             line.job.is_empty()
                 && line.request.is_empty()
                 && line.at >= first
                 && line.at <= last
                 && (processes.contains(&line.process) || named.contains(&line.process))
         };
-        let keep = |line: &Line| is_about(line) || is_near(line);
-        let lines: Vec<Line> = all.into_iter().filter(keep).collect();
+        let keep = |line: &LogLine| is_about(line) || is_near(line);
+        let lines: Vec<LogLine> = all.into_iter().filter(keep).collect();
         let cause = cause(&lines, is_about);
         Some(Self {
             id: id.to_owned(),
@@ -67,7 +67,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for RequestTrace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
             writeln!(f, "{line}")?;
--- a/crates/cassiarock-operator/tests/rules.rs
+++ b/crates/cassiarock-operator/tests/rules.rs
@@ -4,7 +4,7 @@
 use axum::routing::get;
 use axum::{Json, Router};
 use cassiarock_id::{Process, Wall};
-use cassiarock_operator::{Action, Config, Drain, Error, Exit, Report, Restore, Rules, act};
+use cassiarock_operator::{Action, Config, Drain, Error, Exit, Report, Restore, Rules, execute};
 use cassiarock_process::Status;
 use cassiarock_rule::record::Body;
 use cassiarock_rule::{Member, Record};
@@ -27,7 +27,7 @@
         based_on: None,
         file: example("config.jsonc"),
     });
-    act(&client, &set).await.unwrap();
+    execute(&client, &set).await.unwrap();
     (stand, client)
 }
 
@@ -61,7 +61,7 @@
 }
 
 async fn order(client: &Client) -> Vec<String> {
-    let report = act(client, &Action::Rules(Rules::List)).await.unwrap();
+    let report = execute(client, &Action::Rules(Rules::List)).await.unwrap();
     let rules = report.json["rules"].as_array().unwrap();
     rules
         .iter()
@@ -87,13 +87,13 @@
 #[tokio::test]
 async fn published_rules_are_moved_and_deleted() {
     let (_stand, client) = platform().await;
-    act(&client, &publish(None, false)).await.unwrap();
-    act(&client, &shift("dawn-rush", 1)).await.unwrap();
+    execute(&client, &publish(None, false)).await.unwrap();
+    execute(&client, &shift("dawn-rush", 1)).await.unwrap();
     let delete = Action::Rules(Rules::Delete {
         wait: false,
         rule: "payments".into(),
     });
-    act(&client, &delete).await.unwrap();
+    execute(&client, &delete).await.unwrap();
     assert_eq!(
         order(&client).await,
         ["dawn-rush", "reports-under-load", "rest"]
@@ -118,11 +118,11 @@
     };
     for (name, at) in [("first", None), ("last", None), ("middle", Some(2))] {
         write(name);
-        act(&client, &insert(at)).await.unwrap();
+        execute(&client, &insert(at)).await.unwrap();
     }
     assert_eq!(order(&client).await, ["first", "middle", "last"]);
     write("far");
-    let error = act(&client, &insert(Some(9))).await.unwrap_err();
+    let error = execute(&client, &insert(Some(9))).await.unwrap_err();
     assert_eq!(error.exit(), Exit::Refused);
     assert!(error.to_string().contains("beyond the 3 rules"), "{error}");
     std::fs::remove_file(&file).unwrap();
@@ -133,10 +133,12 @@
 #[tokio::test]
 async fn the_second_of_two_racing_operators_gets_a_conflict() {
     let (_stand, client) = platform().await;
-    act(&client, &publish(Some(1), false)).await.unwrap();
-    act(&client, &shift("dawn-rush", 1)).await.unwrap();
+    execute(&client, &publish(Some(1), false)).await.unwrap();
+    execute(&client, &shift("dawn-rush", 1)).await.unwrap();
     let before = order(&client).await;
-    let late = act(&client, &publish(Some(1), false)).await.unwrap_err();
+    let late = execute(&client, &publish(Some(1), false))
+        .await
+        .unwrap_err();
     assert_eq!(late.exit(), Exit::Conflict);
     assert!(
         late.to_string().contains("ana published version 3"),
@@ -151,7 +153,10 @@
 async fn a_lost_answer_of_the_log_is_settled() {
     let (stand, client) = platform().await;
     stand.with_fault(|fault| fault.lost_answers = 1);
-    assert_eq!(exit(act(&client, &publish(None, false)).await), Exit::Done);
+    assert_eq!(
+        exit(execute(&client, &publish(None, false)).await),
+        Exit::Done
+    );
     assert_eq!(order(&client).await.len(), 4);
 }
 
@@ -160,7 +165,7 @@
     let (stand, client) = platform().await;
     stand.with_fault(|fault| fault.down = true);
     assert_eq!(
-        exit(act(&client, &publish(None, false)).await),
+        exit(execute(&client, &publish(None, false)).await),
         Exit::Unreachable
     );
     assert_eq!(stand.end(), 1);
@@ -175,23 +180,23 @@
         rules: example("rules.jsonc"),
         config: example("config.jsonc"),
     });
-    assert_eq!(exit(act(&client, &restore).await), Exit::Refused);
-    act(&client, &publish(None, false)).await.unwrap();
+    assert_eq!(exit(execute(&client, &restore).await), Exit::Refused);
+    execute(&client, &publish(None, false)).await.unwrap();
     stand.cut(stand.end());
     assert_eq!(
-        exit(act(&client, &shift("dawn-rush", 1)).await),
+        exit(execute(&client, &shift("dawn-rush", 1)).await),
         Exit::Unreachable
     );
-    act(&client, &restore).await.unwrap();
-    act(&client, &shift("dawn-rush", 1)).await.unwrap();
+    execute(&client, &restore).await.unwrap();
+    execute(&client, &shift("dawn-rush", 1)).await.unwrap();
     assert_eq!(order(&client).await[0], "dawn-rush");
 }
 
 #[tokio::test]
 async fn what_does_not_exist_is_named() {
     let (_stand, client) = platform().await;
-    let error = act(&client, &shift("payments", 1)).await.unwrap_err();
-    assert_eq!(error.exit(), Exit::Unknown);
+    let error = execute(&client, &shift("payments", 1)).await.unwrap_err();
+    assert_eq!(error.exit(), Exit::NotFound);
     assert!(error.to_string().contains("rule `payments`"), "{error}");
     let drain = Drain {
         undo: false,
@@ -199,8 +204,8 @@
         wait: false,
         agent: "agent-9".into(),
     };
-    let error = act(&client, &Action::Drain(drain)).await.unwrap_err();
-    assert_eq!(error.exit(), Exit::Unknown);
+    let error = execute(&client, &Action::Drain(drain)).await.unwrap_err();
+    assert_eq!(error.exit(), Exit::NotFound);
 }
 
 // An entry does not read the log. The operator who waits for the change must learn which
@@ -211,7 +216,7 @@
     let late = process(0).await;
     let ready = process(u64::MAX).await;
     let client = client.with_status([format!("http://{late}"), format!("http://{ready}")]);
-    let report = act(&client, &publish(None, true)).await.unwrap();
+    let report = execute(&client, &publish(None, true)).await.unwrap();
     assert_eq!(report.exit, Exit::Pending);
     assert_eq!(report.json["lagging"], json!(["late (at 0)"]));
     assert_eq!(report.json["processes"], 2);
@@ -225,7 +230,7 @@
     let joined = Record::new(Wall::now(), "agent-1", Body::Joined { member });
     stand.append(joined.encode().unwrap());
     let client = client.with_status([format!("http://{}", process(u64::MAX).await)]);
-    let report = act(&client, &publish(None, true)).await.unwrap();
+    let report = execute(&client, &publish(None, true)).await.unwrap();
     assert_eq!(report.exit, Exit::Done, "{}", report.text);
     assert_eq!(report.json["processes"], 2);
 }
@@ -235,8 +240,11 @@
 #[tokio::test]
 async fn rules_that_cannot_be_right_are_refused_before_they_are_published() {
     let (stand, client) = platform().await;
-    act(&client, &publish(None, false)).await.unwrap();
+    execute(&client, &publish(None, false)).await.unwrap();
     let end = stand.end();
-    assert_eq!(exit(act(&client, &shift("rest", 1)).await), Exit::Refused);
+    assert_eq!(
+        exit(execute(&client, &shift("rest", 1)).await),
+        Exit::Refused
+    );
     assert_eq!(stand.end(), end);
 }
--- a/crates/cassiarock-operator/tests/status.rs
+++ b/crates/cassiarock-operator/tests/status.rs
@@ -5,7 +5,7 @@
 use axum::routing::{get, post};
 use axum::{Json, Router};
 use cassiarock_id::{Process, Wall};
-use cassiarock_operator::{Action, Command, Exit, act};
+use cassiarock_operator::{Action, Command, Exit, execute};
 use cassiarock_process::{Evacuation, Status};
 use cassiarock_rule::{Explanation, Request, RuleSet};
 use cassiarock_settings::Client;
@@ -33,7 +33,7 @@
     let status = Status::new(Process::new("entry-1", 1), "entry", "andes-1");
     let entry = serve(Router::new().route("/status", get(|| async { Json(status) }))).await;
     let client = Client::new("ana", NOWHERE).with_status([NOWHERE.to_owned(), entry]);
-    let report = act(&client, &Action::Status).await.unwrap();
+    let report = execute(&client, &Action::Status).await.unwrap();
     assert_eq!(report.exit, Exit::Unreachable);
     let row = report.text.lines().find(|line| line.starts_with("entry-1"));
     assert!(
@@ -63,7 +63,7 @@
         entries.push(serve(router).await);
     }
     let client = Client::new("ana", NOWHERE).with_status(entries);
-    let report = act(&client, &Action::Status).await.unwrap();
+    let report = execute(&client, &Action::Status).await.unwrap();
     let row = report.text.lines().find(|line| line.starts_with("andes-2"));
     assert!(row.unwrap().ends_with(" 7"), "{}", report.text);
 }
@@ -77,7 +77,7 @@
     let entry = serve(Router::new().route("/explain", post(answer))).await;
     let client = Client::new("ana", NOWHERE).with_status([NOWHERE.to_owned(), entry]);
     let explain = action("explain --kind seat-check --team desk");
-    let report = act(&client, &explain).await.unwrap();
+    let report = execute(&client, &explain).await.unwrap();
     assert!(report.text.starts_with("version 7"), "{}", report.text);
     assert_eq!(report.json["rule"], "default");
 }
--- a/crates/cassiarock-operator/tests/submit.rs
+++ b/crates/cassiarock-operator/tests/submit.rs
@@ -5,7 +5,7 @@
 use axum::http::StatusCode;
 use axum::routing::{delete, get, post};
 use axum::{Json, Router};
-use cassiarock_operator::{Action, Error, Exit, Report, Submit, act};
+use cassiarock_operator::{Action, Error, Exit, Report, Submit, execute};
 use cassiarock_settings::Client;
 use serde_json::{Value, json};
 use std::path::PathBuf;
@@ -92,15 +92,15 @@
     refused = { 503, json!({ "outcome": "refused_not_run", "reason": "full", "retry_after_s": 1 }), Exit::Refused },
     cancelled = { 410, json!({ "outcome": "cancelled", "ran": [], "not_run": ["a"] }), Exit::Cancelled },
     conflict = { 409, json!({ "outcome": "conflict", "reason": "other content" }), Exit::Conflict },
-    unknown = { 404, json!({ "outcome": "unknown", "reason": "too old" }), Exit::Unknown },
+    unknown = { 404, json!({ "outcome": "unknown", "reason": "too old" }), Exit::NotFound },
     invalid = { 422, json!({ "outcome": "invalid", "field": "team", "reason": "empty" }), Exit::Usage },
     no_answer = { 200, json!({ "hello": "stranger" }), Exit::Failed },
 )]
 fn each_outcome_has_its_exit_code(status: u16, body: Value, expected: Exit) {
     let file = File::new(&format!("outcome-{status}-{expected:?}"), &job());
     let runtime = tokio::runtime::Runtime::new().unwrap();
-    let outcome =
-        runtime.block_on(async { act(&client([entry(status, body).await]), &file.submit()).await });
+    let outcome = runtime
+        .block_on(async { execute(&client([entry(status, body).await]), &file.submit()).await });
     assert_eq!(exit(outcome), expected);
 }
 
@@ -119,7 +119,7 @@
         Json(json!({ "outcome": "complete", "results": [] }))
     };
     let next = serve(Router::new().route("/v1/jobs", post(answer))).await;
-    let outcome = act(&client([dying().await, next]), &file.submit()).await;
+    let outcome = execute(&client([dying().await, next]), &file.submit()).await;
     assert_eq!(exit(outcome), Exit::Done);
     assert_eq!(*seen.lock().unwrap(), [job()]);
 }
@@ -129,7 +129,7 @@
 #[tokio::test]
 async fn a_job_that_was_sent_and_never_answered_may_have_run() {
     let file = File::new("lost", &job());
-    let error = act(&client([dying().await, nowhere().await]), &file.submit())
+    let error = execute(&client([dying().await, nowhere().await]), &file.submit())
         .await
         .unwrap_err();
     assert_eq!(error.exit(), Exit::Failed);
@@ -139,7 +139,7 @@
 #[tokio::test]
 async fn entries_that_are_all_down_are_told_apart() {
     let file = File::new("down", &job());
-    let outcome = act(&client([nowhere().await, nowhere().await]), &file.submit()).await;
+    let outcome = execute(&client([nowhere().await, nowhere().await]), &file.submit()).await;
     assert_eq!(exit(outcome), Exit::Unreachable);
 }
 
@@ -151,7 +151,7 @@
     let router = Router::new()
         .route("/v1/jobs", post(running))
         .route(&format!("/v1/jobs/{JOB}"), get(ended));
-    let outcome = act(&client([serve(router).await]), &file.submit()).await;
+    let outcome = execute(&client([serve(router).await]), &file.submit()).await;
     assert_eq!(exit(outcome), Exit::Done);
 }
 
@@ -171,7 +171,7 @@
     let router = Router::new()
         .route("/v1/jobs", post(submit))
         .route(&format!("/v1/jobs/{JOB}"), get(unknown));
-    let outcome = act(&client([serve(router).await]), &file.submit()).await;
+    let outcome = execute(&client([serve(router).await]), &file.submit()).await;
     assert_eq!(exit(outcome), Exit::Done);
 }
 
@@ -180,7 +180,7 @@
     let mut wrong = job();
     wrong["id"] = json!("7");
     let file = File::new("bad-id", &wrong);
-    let error = act(&client([nowhere().await]), &file.submit())
+    let error = execute(&client([nowhere().await]), &file.submit())
         .await
         .unwrap_err();
     assert_eq!(error.exit(), Exit::Usage);
@@ -193,7 +193,7 @@
         || async { Json(json!({ "outcome": "cancelled", "ran": ["a"], "not_run": ["b"] })) };
     let router = Router::new().route(&format!("/v1/jobs/{JOB}"), delete(answer));
     let client = client([nowhere().await, serve(router).await]);
-    let report = act(&client, &Action::Cancel(JOB.parse().unwrap()))
+    let report = execute(&client, &Action::Cancel(JOB.parse().unwrap()))
         .await
         .unwrap();
     assert!(report.text.contains("never ran: b"), "{}", report.text);
--- a/crates/cassiarock-operator/tests/why.rs
+++ b/crates/cassiarock-operator/tests/why.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use cassiarock_operator::{Line, Story};
+use cassiarock_operator::{LogLine, RequestTrace};
 
 const LOG: &str = r#"
 4.1 entry-1 {"at":"2026-01-01T00:00:04.100Z","what":"admitted","request":"r-1","job":"j-1","queue":"0"}
@@ -16,46 +16,46 @@
 
 #[test]
 fn lines_of_all_processes_are_put_in_order() {
-    let story = Story::new("r-1", LOG.lines()).unwrap();
-    let whats: Vec<&str> = story.lines.iter().map(|line| line.what.as_str()).collect();
+    let trace = RequestTrace::new("r-1", LOG.lines()).unwrap();
+    let whats: Vec<&str> = trace.lines.iter().map(|line| line.what.as_str()).collect();
     assert_eq!(whats, ["admitted", "order", "ended", "failed"]);
 }
 
 #[test]
 fn a_job_is_found_by_its_own_id_as_well() {
-    let by_request = Story::new("r-1", LOG.lines()).unwrap();
-    let by_job = Story::new("j-1", LOG.lines()).unwrap();
+    let by_request = RequestTrace::new("r-1", LOG.lines()).unwrap();
+    let by_job = RequestTrace::new("j-1", LOG.lines()).unwrap();
     assert_eq!(by_request.cause, by_job.cause);
 }
 
 #[test]
 fn the_cause_names_the_decision_and_what_led_to_it() {
-    let story = Story::new("r-1", LOG.lines()).unwrap();
-    assert!(story.cause.contains("a task failed too often"), "{story}");
+    let trace = RequestTrace::new("r-1", LOG.lines()).unwrap();
+    assert!(trace.cause.contains("a task failed too often"), "{trace}");
     assert!(
-        story.cause.contains("ended as Failed at agent-3"),
-        "{story}"
+        trace.cause.contains("ended as Failed at agent-3"),
+        "{trace}"
     );
 }
 
 #[test]
 fn a_request_without_an_outcome_is_said_to_have_none() {
-    let story = Story::new("r-2", LOG.lines()).unwrap();
+    let trace = RequestTrace::new("r-2", LOG.lines()).unwrap();
     assert!(
-        story.cause.contains("no outcome is logged: entry-1"),
-        "{story}"
+        trace.cause.contains("no outcome is logged: entry-1"),
+        "{trace}"
     );
 }
 
 #[test]
-fn an_unknown_id_has_no_story() {
-    assert!(Story::new("r-3", LOG.lines()).is_none());
+fn an_unknown_id_has_no_trace() {
+    assert!(RequestTrace::new("r-3", LOG.lines()).is_none());
 }
 
 #[test]
 fn a_line_that_names_no_process_takes_the_collectors() {
-    let line = Line::parse(r#"4.1 entry-1 {"what":"x","at":"t"}"#).unwrap();
+    let line = LogLine::parse(r#"4.1 entry-1 {"what":"x","at":"t"}"#).unwrap();
     assert_eq!(line.process, "entry-1");
-    let line = Line::parse(r#"4.1 host {"what":"x","process":"entry-2"}"#).unwrap();
+    let line = LogLine::parse(r#"4.1 host {"what":"x","process":"entry-2"}"#).unwrap();
     assert_eq!(line.process, "entry-2");
 }
