--- a/crates/cassiarock-operator/src/command/config.rs
+++ b/crates/cassiarock-operator/src/command/config.rs
@@ -1,6 +1,6 @@
-//! `config`: the configuration in force.
+//! `config`: the configuration that all processes share.
 
-use super::{Action, Command, leaf};
+use super::{Action, Command, options};
 use bpaf::{Parser, construct, long, positional};
 use std::path::PathBuf;
 
@@ -26,13 +26,13 @@
     construct!([show, set])
         .to_options()
         .descr("Look at or change the configuration that all processes share.")
-        .footer(leaf::footer(&["cassiarock config show"]))
+        .footer(options::examples(&["cassiarock config show"]))
         .command("config")
         .help("Show or set the configuration")
 }
 
 fn show() -> impl Parser<Command> {
-    leaf::leaf(
+    options::subcommand(
         "Show the configuration in force, with its version.",
         &["cassiarock config show", "cassiarock config show --json"],
         bpaf::pure(Action::Config(Config::Show)),
@@ -42,13 +42,13 @@
 }
 
 fn set() -> impl Parser<Command> {
-    let wait = leaf::wait();
+    let wait = options::wait();
     let based_on = long("based-on")
         .help("Publish only if this version is still the current one")
         .argument::<u64>("VERSION")
         .optional();
     let file = positional::<PathBuf>("FILE").help("The whole configuration as JSON with comments");
-    leaf::leaf(
+    options::subcommand(
         "Publish a whole file of configuration in place of the one in force.",
         &["cassiarock config set settings/andes/config.jsonc --wait"],
         construct!(Config::Set {
--- a/crates/cassiarock-operator/src/command/job.rs
+++ b/crates/cassiarock-operator/src/command/job.rs
@@ -1,6 +1,6 @@
 //! `submit` and `cancel`.
 
-use super::{Action, Command, leaf};
+use super::{Action, Command, options};
 use bpaf::{Parser, construct, long, positional};
 use cassiarock_id::Job;
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
 /// A job to submit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Submit {
-    /// Return as soon as the job is taken in.
+    /// Return as soon as the job is accepted.
     pub detach: bool,
     /// The file with the job, `-` for stdin.
     pub file: PathBuf,
@@ -16,11 +16,11 @@
 
 pub fn submit() -> impl Parser<Command> {
     let detach = long("detach")
-        .help("Return as soon as the job is taken in")
+        .help("Return as soon as the job is accepted")
         .switch();
     let file = positional::<PathBuf>("FILE").help("The job as JSON with comments, - for stdin");
     let action = construct!(Submit { detach, file }).map(Action::Submit);
-    leaf::leaf(
+    options::subcommand(
         "Submit a job and print its answer. A file without an id gets a new one, printed on \
          stderr; the same id may be submitted again without a second start.",
         &[
@@ -37,7 +37,7 @@
 pub fn cancel() -> impl Parser<Command> {
     let job = positional::<Job>("JOB").help("The job's id");
     let action = job.map(Action::Cancel);
-    leaf::leaf(
+    options::subcommand(
         "Cancel a job, and print which of its tasks ran and which never will.",
         &["cassiarock cancel 019b2f4e-7a00-7000-8000-000000000001"],
         action,
--- a/crates/cassiarock-operator/src/command/mod.rs
+++ b/crates/cassiarock-operator/src/command/mod.rs
@@ -2,7 +2,7 @@
 
 mod config;
 mod job;
-mod leaf;
+mod options;
 mod process;
 mod restore;
 mod rules;
@@ -30,22 +30,22 @@
     pub settings: PathBuf,
     /// Whether to print JSON in place of tables.
     pub json: bool,
-    /// What to do.
+    /// The subcommand with its arguments.
     pub action: Action,
 }
 
-/// What the operator asked for.
+/// A subcommand with its arguments.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Submit a job and wait for its answer.
     Submit(Submit),
     /// Cancel a job.
     Cancel(Job),
-    /// Look at or change the ordered rules.
+    /// Show or change the ordered rules.
     Rules(Rules),
-    /// Look at or change the configuration.
+    /// Show or change the configuration.
     Config(Config),
-    /// Begin anew on a log that was cut.
+    /// Start over on a truncated log.
     Restore(Restore),
     /// List the upstreams that have announced themselves.
     Upstreams,
@@ -55,9 +55,9 @@
     Status,
     /// Ask which rule decides a request, and why.
     Explain(Explain),
-    /// Tell a request's story from logs.
+    /// Explain from logs what happened to a request.
     Why(Why),
-    /// Play loads in virtual time.
+    /// Simulate loads in virtual time.
     Simulate(Simulate),
     /// Check settings files.
     Check(Check),
@@ -104,7 +104,7 @@
         ])
         .to_options()
         .descr("The operators' client of cassiarock.")
-        .footer(leaf::footer(&[
+        .footer(options::examples(&[
             "cassiarock status",
             "cassiarock rules list --json",
             "cassiarock submit job.jsonc --settings settings/andes/client.jsonc",
--- a/crates/cassiarock-operator/src/command/leaf.rs
+++ b/crates/cassiarock-operator/src/command/options.rs
@@ -1,17 +1,17 @@
-//! What the subcommands share.
+//! Options and help text that the subcommands share.
 
 use crate::{Action, Command};
 use bpaf::{Doc, OptionParser, Parser, construct, long};
 use std::path::PathBuf;
 
-/// Where the settings are looked for without `--settings`.
-const SETTINGS: &str = "cassiarock.jsonc";
+/// Settings file that is read without `--settings`.
+const DEFAULT_SETTINGS: &str = "cassiarock.jsonc";
 
 /// The environment variable that names the settings file.
-const VARIABLE: &str = "CASSIAROCK_SETTINGS";
+const SETTINGS_VARIABLE: &str = "CASSIAROCK_SETTINGS";
 
-/// A subcommand that does `action`, with the options that all have.
-pub fn leaf(
+/// Builds a subcommand with the options `--settings` and `--json`.
+pub fn subcommand(
     about: &'static str,
     examples: &[&str],
     action: impl Parser<Action> + 'static,
@@ -25,11 +25,11 @@
     })
     .to_options()
     .descr(about)
-    .footer(footer(examples))
+    .footer(self::examples(examples))
 }
 
-/// A subcommand that reads no settings of the client.
-pub fn bare(
+/// Builds a subcommand that reads no settings of the client, with the option `--json` alone.
+pub fn subcommand_without_settings(
     about: &'static str,
     examples: &[&str],
     action: impl Parser<Action> + 'static,
@@ -43,11 +43,11 @@
     })
     .to_options()
     .descr(about)
-    .footer(footer(examples))
+    .footer(self::examples(examples))
 }
 
-/// The text under the options: one example a line.
-pub fn footer(examples: &[&str]) -> Doc {
+/// Formats the help text below the options: one example a line.
+pub fn examples(examples: &[&str]) -> Doc {
     let mut doc = Doc::default();
     doc.text("Examples:");
     for example in examples {
@@ -57,7 +57,7 @@
     doc
 }
 
-/// Whether a publish waits until it is in force.
+/// Parses `--wait`: a published change is awaited until it is in force.
 pub fn wait() -> impl Parser<bool> {
     long("wait")
         .help("Wait until every entry and agent has the new version in force")
@@ -67,10 +67,10 @@
 fn settings() -> impl Parser<PathBuf> {
     long("settings")
         .short('s')
-        .env(VARIABLE)
+        .env(SETTINGS_VARIABLE)
         .help("Settings file of this client")
         .argument::<PathBuf>("FILE")
-        .fallback(PathBuf::from(SETTINGS))
+        .fallback(PathBuf::from(DEFAULT_SETTINGS))
         .debug_fallback()
 }
 
--- a/crates/cassiarock-operator/src/command/process.rs
+++ b/crates/cassiarock-operator/src/command/process.rs
@@ -1,6 +1,6 @@
 //! `upstreams`, `drain`, `status` and `explain`.
 
-use super::{Action, Command, leaf};
+use super::{Action, Command, options};
 use bpaf::{Parser, construct, long, positional};
 use cassiarock_id::Name;
 
@@ -9,7 +9,7 @@
 pub struct Drain {
     /// Put it back into service instead.
     pub undo: bool,
-    /// Pass over the bound on the share of a pool that may be leaving.
+    /// Ignore the limit on the share of a pool that may be leaving.
     pub force: bool,
     /// Wait until the change is in force.
     pub wait: bool,
@@ -17,7 +17,7 @@
     pub agent: Name,
 }
 
-/// A request to explain.
+/// A request whose matching rule is to be explained.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Explain {
     /// The kind of request.
@@ -37,7 +37,7 @@
 }
 
 pub fn upstreams() -> impl Parser<Command> {
-    leaf::leaf(
+    options::subcommand(
         "List the upstreams that have announced themselves, with their pools and places.",
         &["cassiarock upstreams", "cassiarock upstreams --json"],
         bpaf::pure(Action::Upstreams),
@@ -49,13 +49,13 @@
 pub fn drain() -> impl Parser<Command> {
     let undo = long("undo").help("Put it back into service").switch();
     let force = long("force")
-        .help("Pass over the bound on the share of a pool that may be leaving")
+        .help("Ignore the limit on the share of a pool that may be leaving")
         .switch();
-    let wait = leaf::wait();
+    let wait = options::wait();
     let agent = positional::<String>("AGENT")
         .help("The name of the upstream's agent")
         .map(Name::from);
-    leaf::leaf(
+    options::subcommand(
         "Take an upstream out of service: it gets no new tasks and finishes those it has.",
         &[
             "cassiarock drain agent-3 --wait",
@@ -74,7 +74,7 @@
 }
 
 pub fn status() -> impl Parser<Command> {
-    leaf::leaf(
+    options::subcommand(
         "Show every process: versions in force, work in flight, draining or out of reach.",
         &["cassiarock status", "cassiarock status --json"],
         bpaf::pure(Action::Status),
@@ -93,7 +93,7 @@
     let repeatable = long("repeatable")
         .help("Its tasks may be started more than once")
         .switch();
-    leaf::leaf(
+    options::subcommand(
         "Ask an entry which rule decides such a request, and why the earlier ones do not.",
         &["cassiarock explain --kind seat-check --team andes --tasks 40"],
         construct!(Explain {
--- a/crates/cassiarock-operator/src/command/restore.rs
+++ b/crates/cassiarock-operator/src/command/restore.rs
@@ -1,10 +1,10 @@
-//! `restore`: beginning anew on a log that was cut.
+//! `restore`: a new start on a truncated log.
 
-use super::{Action, Command, leaf};
+use super::{Action, Command, options};
 use bpaf::{Parser, construct, long};
 use std::path::PathBuf;
 
-/// What to begin anew with.
+/// The rules and the configuration to start over with.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Restore {
     /// The file with the rules.
@@ -16,8 +16,8 @@
 pub fn restore() -> impl Parser<Command> {
     let rules = file("rules", "The rules as JSON with comments");
     let config = file("config", "The configuration as JSON with comments");
-    leaf::leaf(
-        "Begin anew on a log that has lost its older records and holds no snapshot. Refused \
+    options::subcommand(
+        "Start over on a log that has lost its older records and holds no snapshot. Refused \
          while the log can still be read.",
         &[
             "cassiarock restore --rules settings/andes/rules.jsonc --config settings/andes/config.jsonc",
@@ -25,7 +25,7 @@
         construct!(Restore { rules, config }).map(Action::Restore),
     )
     .command("restore")
-    .help("Begin anew on a log that was cut")
+    .help("Start over on a truncated log")
 }
 
 fn file(option: &'static str, help: &'static str) -> impl Parser<PathBuf> {
--- a/crates/cassiarock-operator/src/command/rules.rs
+++ b/crates/cassiarock-operator/src/command/rules.rs
@@ -1,6 +1,6 @@
 //! `rules`: the ordered rules, of which the first match decides.
 
-use super::{Action, Command, leaf};
+use super::{Action, Command, options};
 use bpaf::{Parser, construct, long, positional};
 use cassiarock_id::Name;
 use std::path::PathBuf;
@@ -58,12 +58,12 @@
     let check = check();
     let publish = publish();
     let insert = insert();
-    let shift = shift();
+    let move_rule = move_rule();
     let delete = delete();
-    construct!([list, check, publish, insert, shift, delete])
+    construct!([list, check, publish, insert, move_rule, delete])
         .to_options()
         .descr("Look at or change the ordered rules, of which the first match decides.")
-        .footer(leaf::footer(&[
+        .footer(options::examples(&[
             "cassiarock rules list",
             "cassiarock rules move payments --to 1 --wait",
         ]))
@@ -72,7 +72,7 @@
 }
 
 fn list() -> impl Parser<Command> {
-    leaf::leaf(
+    options::subcommand(
         "Show the rules in order, with the version in force.",
         &["cassiarock rules list", "cassiarock rules list --json"],
         bpaf::pure(Action::Rules(Rules::List)),
@@ -87,7 +87,7 @@
         .argument::<PathBuf>("FILE")
         .optional();
     let file = file("The rules as JSON with comments");
-    leaf::leaf(
+    options::subcommand(
         "Check a file of rules without publishing it: unknown pools, rules that can never match, \
          limits that cannot hold.",
         &[
@@ -101,13 +101,13 @@
 }
 
 fn publish() -> impl Parser<Command> {
-    let wait = leaf::wait();
+    let wait = options::wait();
     let based_on = long("based-on")
         .help("Publish only if this version is still the current one")
         .argument::<u64>("VERSION")
         .optional();
     let file = file("The rules as JSON with comments");
-    leaf::leaf(
+    options::subcommand(
         "Publish a whole file of rules in place of those in force.",
         &[
             "cassiarock rules publish settings/andes/rules.jsonc --wait",
@@ -125,14 +125,14 @@
 }
 
 fn insert() -> impl Parser<Command> {
-    let wait = leaf::wait();
+    let wait = options::wait();
     let at = long("at")
         .help("Place in the order, from 1; the last by default")
         .argument::<usize>("PLACE")
         .guard(|place| *place > 0, "places count from 1")
         .optional();
     let file = file("The rule as JSON with comments");
-    leaf::leaf(
+    options::subcommand(
         "Insert one rule. Give its place: the first rule that matches decides.",
         &["cassiarock rules insert rule.jsonc --at 1 --wait"],
         construct!(Rules::Insert { wait, at, file }).map(Action::Rules),
@@ -141,14 +141,14 @@
     .help("Insert one rule")
 }
 
-fn shift() -> impl Parser<Command> {
-    let wait = leaf::wait();
+fn move_rule() -> impl Parser<Command> {
+    let wait = options::wait();
     let to = long("to")
         .help("New place in the order, from 1")
         .argument::<usize>("PLACE")
         .guard(|place| *place > 0, "places count from 1");
     let rule = rule();
-    leaf::leaf(
+    options::subcommand(
         "Move a rule to another place in the order.",
         &["cassiarock rules move payments --to 1"],
         construct!(Rules::Move { wait, to, rule }).map(Action::Rules),
@@ -158,9 +158,9 @@
 }
 
 fn delete() -> impl Parser<Command> {
-    let wait = leaf::wait();
+    let wait = options::wait();
     let rule = rule();
-    leaf::leaf(
+    options::subcommand(
         "Delete a rule.",
         &["cassiarock rules delete payments --wait"],
         construct!(Rules::Delete { wait, rule }).map(Action::Rules),
--- a/crates/cassiarock-operator/src/command/settings.rs
+++ b/crates/cassiarock-operator/src/command/settings.rs
@@ -1,6 +1,6 @@
 //! `settings check`.
 
-use super::{Action, Command, leaf};
+use super::{Action, Command, options};
 use bpaf::{Parser, construct, long, positional};
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -43,7 +43,7 @@
     construct!([check])
         .to_options()
         .descr("Work with settings files.")
-        .footer(leaf::footer(&[
+        .footer(options::examples(&[
             "cassiarock settings check --role client settings/andes/client.jsonc",
         ]))
         .command("settings")
@@ -57,7 +57,7 @@
     let files = positional::<PathBuf>("FILE")
         .help("Settings files")
         .some("name at least one file");
-    leaf::bare(
+    options::subcommand_without_settings(
         "Check settings files as the process would at its start, without starting it.",
         &[
             "cassiarock settings check --role entry settings/andes/entry.jsonc",
--- a/crates/cassiarock-operator/src/command/simulate.rs
+++ b/crates/cassiarock-operator/src/command/simulate.rs
@@ -1,27 +1,27 @@
 //! `simulate`.
 
-use super::{Action, Command, leaf};
+use super::{Action, Command, options};
 use bpaf::{Parser, construct, long, positional};
 use std::path::PathBuf;
 
-/// Scenarios to play.
+/// Scenarios to simulate.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Simulate {
-    /// A mechanism that is left out.
+    /// A mechanism to disable.
     pub without: Option<String>,
-    /// Whether to leave out each mechanism in turn.
+    /// Whether to disable each mechanism in turn.
     pub ablate: bool,
-    /// The scenarios.
+    /// The scenario files.
     pub files: Vec<PathBuf>,
 }
 
 pub fn simulate() -> impl Parser<Command> {
     let without = long("without")
-        .help("Leave one mechanism out, such as `ejection`")
+        .help("Disable one mechanism, such as `ejection`")
         .argument::<String>("NAME")
         .optional();
     let ablate = long("ablate")
-        .help("Leave out each mechanism in turn, and compare")
+        .help("Disable each mechanism in turn, and compare")
         .switch();
     let files = positional::<PathBuf>("FILE")
         .help("Scenarios, as in settings/lab")
@@ -32,8 +32,8 @@
         files
     })
     .map(Action::Simulate);
-    leaf::bare(
-        "Play loads and disturbances against the real decisions, in virtual time.",
+    options::subcommand_without_settings(
+        "Simulate loads and failures with the decision code of the processes, in virtual time.",
         &[
             "cassiarock simulate settings/lab/forum.jsonc",
             "cassiarock simulate --ablate settings/lab/wide.jsonc settings/lab/small.jsonc",
@@ -42,5 +42,5 @@
         simulate,
     )
     .command("simulate")
-    .help("Play a load in virtual time")
+    .help("Simulate a load in virtual time")
 }
--- a/crates/cassiarock-operator/src/command/why.rs
+++ b/crates/cassiarock-operator/src/command/why.rs
@@ -1,10 +1,10 @@
 //! `why`.
 
-use super::{Action, Command, leaf};
+use super::{Action, Command, options};
 use bpaf::{Parser, construct, positional};
 use std::path::PathBuf;
 
-/// A request to explain from logs.
+/// A request whose outcome is to be explained from logs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Why {
     /// The request's or the job's id.
@@ -19,7 +19,7 @@
         .help("Logs of entries and agents; standard input without any")
         .many();
     let why = construct!(Why { id, logs }).map(Action::Why);
-    leaf::bare(
+    options::subcommand_without_settings(
         "Tell what happened to a request, and why, from the logs of the processes.",
         &[
             "cassiarock why 41a4d7334b5b771b entry-1.log agent-3.log",
--- a/crates/cassiarock-operator/src/document.rs
+++ b/crates/cassiarock-operator/src/document.rs
@@ -6,22 +6,22 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// The name that stands for stdin.
+/// File name that stands for stdin.
 const STDIN: &str = "-";
 
 /// Reads and parses a file, or stdin if it is named `-`.
 pub fn read(path: &Path) -> Result<Value, Error> {
-    let text = text(path)?;
+    let text = read_text(path)?;
     Ok(document(&text, &path.display().to_string())?)
 }
 
 /// Reads and parses a file into `T`.
-pub fn typed<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
-    serde_json::from_value(read(path)?).map_err(|error| input(path, error.to_string()))
+pub fn read_as<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
+    serde_json::from_value(read(path)?).map_err(|error| input_error(path, error.to_string()))
 }
 
-/// An error about the file `path`.
-pub fn input(path: &Path, reason: impl Into<String>) -> Error {
+/// Builds the error for a fault in the file `path`.
+pub fn input_error(path: &Path, reason: impl Into<String>) -> Error {
     Error::Input {
         input: path.display().to_string(),
         reason: reason.into(),
@@ -29,11 +29,11 @@
 }
 
 /// Reads a file, or stdin if it is named `-`.
-pub fn text(path: &Path) -> Result<String, Error> {
+pub fn read_text(path: &Path) -> Result<String, Error> {
     let read = if path == Path::new(STDIN) {
         std::io::read_to_string(std::io::stdin())
     } else {
         std::fs::read_to_string(path)
     };
-    read.map_err(|error| input(path, error.to_string()))
+    read.map_err(|error| input_error(path, error.to_string()))
 }
--- a/crates/cassiarock-operator/src/error.rs
+++ b/crates/cassiarock-operator/src/error.rs
@@ -1,8 +1,8 @@
-//! What can go wrong with a command.
+//! Errors of the client.
 
 use crate::Exit;
 
-/// Why a command did not do what was asked, with the step and the peer.
+/// Why a command failed, with the step and the peer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The settings of the client are wrong. The text names file, field and remedy.
@@ -11,7 +11,7 @@
     /// A scenario is wrong. The text names file, field and remedy.
     #[error(transparent)]
     Scenario(#[from] cassiarock_lab::Error),
-    /// An input file or argument is wrong. Mend it as the reason says.
+    /// An input file or argument is wrong. Correct it as the reason says.
     #[error("{input}: {reason}")]
     Input {
         /// The file or argument.
@@ -19,7 +19,7 @@
         /// What is wrong with it.
         reason: String,
     },
-    /// The HTTP client could not be made; the system lacks something it needs.
+    /// The HTTP client could not be set up; the system lacks something it needs.
     #[error("set up the HTTP client: {reason}")]
     HttpClient {
         /// What the library said.
@@ -36,15 +36,15 @@
         /// The reason given by the connection.
         reason: String,
     },
-    /// A peer answered with something that the client does not understand. Check that
-    /// the address is that of the named role and that the versions fit.
-    #[error("{step}: {peer} answered what cannot be read: {reason}")]
+    /// A peer sent a response that the client cannot parse. Check that the address
+    /// belongs to the expected role and that the versions are compatible.
+    #[error("{step}: {peer} sent an invalid response: {reason}")]
     InvalidResponse {
         /// What the client was doing.
         step: &'static str,
         /// The address of the peer.
         peer: String,
-        /// What is wrong with the answer.
+        /// What is wrong with the response.
         reason: String,
     },
     /// Another change was accepted first. Look at it, and repeat the command if it is
@@ -84,7 +84,7 @@
 }
 
 impl Error {
-    /// The exit code's meaning for this error.
+    /// Returns how a command that fails with this error exits.
     ///
     /// ```
     /// use cassiarock_operator::{Error, Exit};
--- a/crates/cassiarock-operator/src/exit.rs
+++ b/crates/cassiarock-operator/src/exit.rs
@@ -3,7 +3,7 @@
 /// How a command ended, for scripts. The numbers are part of the client's interface.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// Done as asked.
+    /// The command succeeded.
     Done,
     /// The command line, a settings file or an input file is wrong; nothing was started.
     Usage,
@@ -11,9 +11,9 @@
     Conflict,
     /// Refused: nothing ran, nothing was published.
     Refused,
-    /// Failed; some of it ran or may have run.
+    /// Failed; some tasks ran or may have run.
     Failed,
-    /// The log or every entry is out of reach; nothing was done.
+    /// The log or every entry is unreachable; nothing was done.
     Unreachable,
     /// Accepted, but not finished or not in force everywhere within the wait.
     Pending,
--- a/crates/cassiarock-operator/src/http.rs
+++ b/crates/cassiarock-operator/src/http.rs
@@ -1,18 +1,18 @@
-//! Exchanges with entries and agents over HTTP.
+//! HTTP requests to entries and agents.
 
 use crate::Error;
 use reqwest::{Client, Method, RequestBuilder};
 use serde_json::Value;
 use std::time::Duration;
 
-/// An HTTP client whose every exchange ends within a set time.
+/// An HTTP client with a timeout on every request.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: Client,
     timeout: Duration,
 }
 
-/// What a peer answered.
+/// The response of a peer.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// The HTTP status.
@@ -21,9 +21,9 @@
     pub body: Value,
 }
 
-/// Why there is no reply.
+/// The failure of a request that got no usable response.
 #[derive(Debug)]
-pub struct Loss {
+pub struct ExchangeError {
     /// Whether the peer may have received the request all the same.
     pub sent: bool,
     /// The error for the operator.
@@ -31,8 +31,8 @@
 }
 
 impl Http {
-    /// A client whose exchanges take at most `timeout`. It goes straight to the IP number
-    /// that the settings name, whatever proxy the operator's shell is set up for.
+    /// Creates a client whose requests take at most `timeout`. It connects directly to the
+    /// address in the settings and ignores proxies set in the environment.
     pub fn new(timeout: Duration) -> Result<Self, Error> {
         let client = Client::builder().no_proxy().build();
         let client = client.map_err(|error| Error::HttpClient {
@@ -41,19 +41,21 @@
         Ok(Self { client, timeout })
     }
 
-    /// Gets `base` + `path`, which the peer may hold back for `wait`.
+    /// Sends GET to `base` + `path`. The peer may delay its response by `wait`, which extends
+    /// the timeout.
     pub async fn get(
         &self,
         step: &'static str,
         base: &str,
         path: &str,
         wait: Duration,
-    ) -> Result<Reply, Loss> {
+    ) -> Result<Reply, ExchangeError> {
         let request = self.request(Method::GET, base, path, wait);
         exchange(step, base, request).await
     }
 
-    /// Posts `body` to `base` + `path`, which the peer may hold back for `wait`.
+    /// Sends POST with `body` to `base` + `path`. The peer may delay its response by `wait`,
+    /// which extends the timeout.
     pub async fn post(
         &self,
         step: &'static str,
@@ -61,13 +63,18 @@
         path: &str,
         body: &Value,
         wait: Duration,
-    ) -> Result<Reply, Loss> {
+    ) -> Result<Reply, ExchangeError> {
         let request = self.request(Method::POST, base, path, wait).json(body);
         exchange(step, base, request).await
     }
 
-    /// Deletes `base` + `path`.
-    pub async fn delete(&self, step: &'static str, base: &str, path: &str) -> Result<Reply, Loss> {
+    /// Sends DELETE to `base` + `path`.
+    pub async fn delete(
+        &self,
+        step: &'static str,
+        base: &str,
+        path: &str,
+    ) -> Result<Reply, ExchangeError> {
         let request = self.request(Method::DELETE, base, path, Duration::ZERO);
         exchange(step, base, request).await
     }
@@ -80,17 +87,21 @@
     }
 }
 
-async fn exchange(step: &'static str, peer: &str, request: RequestBuilder) -> Result<Reply, Loss> {
+async fn exchange(
+    step: &'static str,
+    peer: &str,
+    request: RequestBuilder,
+) -> Result<Reply, ExchangeError> {
     let response = request
         .send()
         .await
-        .map_err(|error| lost(step, peer, &error))?;
+        .map_err(|error| connection_error(step, peer, &error))?;
     let status = response.status().as_u16();
     let bytes = response
         .bytes()
         .await
-        .map_err(|error| lost(step, peer, &error))?;
-    let body = serde_json::from_slice(&bytes).map_err(|error| Loss {
+        .map_err(|error| connection_error(step, peer, &error))?;
+    let body = serde_json::from_slice(&bytes).map_err(|error| ExchangeError {
         sent: true,
         error: Error::InvalidResponse {
             step,
@@ -101,19 +112,19 @@
     Ok(Reply { status, body })
 }
 
-fn lost(step: &'static str, peer: &str, error: &reqwest::Error) -> Loss {
-    Loss {
+fn connection_error(step: &'static str, peer: &str, error: &reqwest::Error) -> ExchangeError {
+    ExchangeError {
         sent: !error.is_connect() && !error.is_builder(),
         error: Error::Unreachable {
             step,
             peer: peer.to_owned(),
-            reason: root(error),
+            reason: root_cause(error),
         },
     }
 }
 
-/// The innermost cause: the outer texts only repeat the address.
-fn root(error: &reqwest::Error) -> String {
+/// Returns the text of the innermost cause; the outer ones only repeat the address.
+fn root_cause(error: &reqwest::Error) -> String {
     if error.is_timeout() {
         return "no answer in time".to_owned();
     }
--- a/crates/cassiarock-operator/src/lib.rs
+++ b/crates/cassiarock-operator/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' client: rules, configuration, drain, status, explain, why, simulate, submit.
 //!
-//! [`Command`] is the parsed command line, [`run`] carries it out.
+//! [`Command`] is the parsed command line, [`run`] executes it.
 
 mod command;
 mod document;
--- a/crates/cassiarock-operator/src/progress.rs
+++ b/crates/cassiarock-operator/src/progress.rs
@@ -1,48 +1,52 @@
-//! Progress on long waits.
+//! Progress messages during long waits.
 
 use std::pin::pin;
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Shorter waits pass without a line.
-const QUIET: Duration = Duration::from_secs(1);
+/// Minimum time between progress messages; a shorter wait prints none.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tells on stderr, once a second at most, what a long wait is waiting for. Stdout
-/// carries results alone.
+/// Prints on stderr, at most once a second, what the client is waiting for. Stdout is
+/// reserved for results.
 #[derive(Debug)]
 pub struct Progress {
-    began: Instant,
-    told: Instant,
+    started_at: Instant,
+    last_report: Instant,
 }
 
 impl Progress {
-    /// A wait that begins now.
+    /// Starts the clock of a wait.
     pub fn new() -> Self {
         let now = Instant::now();
         Self {
-            began: now,
-            told: now,
+            started_at: now,
+            last_report: now,
         }
     }
 
-    /// Tells what is waited for, if the last line is long enough ago.
-    pub fn tell(&mut self, what: impl FnOnce() -> String) {
-        if self.told.elapsed() < QUIET {
+    /// Prints the message, unless the previous one is less than a second old.
+    pub fn report(&mut self, message: impl FnOnce() -> String) {
+        if self.last_report.elapsed() < REPORT_INTERVAL {
             return;
         }
-        self.told = Instant::now();
-        eprintln!("{:>4} s  {}", self.began.elapsed().as_secs(), what());
+        self.last_report = Instant::now();
+        eprintln!(
+            "{:>4} s  {}",
+            self.started_at.elapsed().as_secs(),
+            message()
+        );
     }
 }
 
-/// Waits for `work`, telling what it is if it takes long.
-pub async fn during<T>(what: &str, work: impl Future<Output = T>) -> T {
+/// Awaits `work` and prints `step` every second until it is done.
+pub async fn with_progress<T>(step: &str, work: impl Future<Output = T>) -> T {
     let mut progress = Progress::new();
     let mut work = pin!(work);
     loop {
-        match timeout(QUIET, &mut work).await {
+        match timeout(REPORT_INTERVAL, &mut work).await {
             Ok(done) => return done,
-            Err(_) => progress.tell(|| what.to_owned()),
+            Err(_) => progress.report(|| step.to_owned()),
         }
     }
 }
--- a/crates/cassiarock-operator/src/run/answer.rs
+++ b/crates/cassiarock-operator/src/run/answer.rs
@@ -1,4 +1,4 @@
-//! An entry's answer about a job.
+//! The response of an entry about a job.
 
 use crate::http::Reply;
 use crate::{Error, Exit, Report, Table};
@@ -6,12 +6,12 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// What an entry says about a job.
+/// The response of an entry about a job.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The body as the entry sent it.
     pub body: Value,
-    /// What it says.
+    /// The outcome that the body reports.
     pub outcome: Outcome,
 }
 
@@ -19,8 +19,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Outcome {
-    /// Every task ran; one result each.
-    Complete { results: Vec<Item> },
+    /// Every task ran and has one result.
+    Complete { results: Vec<TaskResult> },
     /// Failed; these tasks ran or may have run.
     FailedMayHaveRun { reason: String, ran: Vec<String> },
     /// Refused; nothing ran.
@@ -30,7 +30,7 @@
         ran: Vec<String>,
         not_run: Vec<String>,
     },
-    /// Not ended yet.
+    /// The job has not ended yet.
     Running,
     /// No such job.
     Unknown { reason: String },
@@ -38,19 +38,19 @@
     Conflict { reason: String },
     /// A field of the submission is wrong.
     Invalid { field: String, reason: String },
-    /// The entry takes nothing now.
+    /// The entry accepts no jobs at the moment.
     Unavailable { reason: String, retry_after_s: u64 },
 }
 
 /// One task's result.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Item {
+pub struct TaskResult {
     id: String,
     result: Value,
 }
 
 impl Answer {
-    /// Reads a reply of the entry at `peer`.
+    /// Parses the reply of the entry at `peer`.
     pub fn new(step: &'static str, peer: &str, reply: Reply) -> Result<Self, Error> {
         let outcome =
             Outcome::deserialize(&reply.body).map_err(|error| Error::InvalidResponse {
@@ -64,15 +64,15 @@
         })
     }
 
-    /// After which pause another entry may be asked, if this one takes nothing now.
-    pub fn retry(&self) -> Option<Duration> {
+    /// Returns the delay before the next attempt if the entry accepts no jobs at the moment.
+    pub fn retry_after(&self) -> Option<Duration> {
         match &self.outcome {
             Outcome::Unavailable { retry_after_s, .. } => Some(Duration::from_secs(*retry_after_s)),
             _ => None,
         }
     }
 
-    /// What to show.
+    /// Returns the report to print.
     pub fn report(&self) -> Report {
         Report::new(&self.body, self.text()).with_exit(self.exit())
     }
@@ -99,14 +99,14 @@
             Outcome::FailedMayHaveRun { reason, ran } => {
                 format!(
                     "failed, may have run: {reason}\nran or may have run: {}",
-                    list(ran)
+                    join_ids(ran)
                 )
             }
             Outcome::RefusedNotRun { reason } => format!("refused, not run: {reason}"),
             Outcome::Cancelled { ran, not_run } => format!(
                 "cancelled\nran or may have run: {}\nnever ran: {}",
-                list(ran),
-                list(not_run)
+                join_ids(ran),
+                join_ids(not_run)
             ),
             Outcome::Running => "running".to_owned(),
             Outcome::Unknown { reason } => format!("unknown: {reason}"),
@@ -117,14 +117,14 @@
     }
 }
 
-fn table(results: &[Item]) -> Table {
+fn table(results: &[TaskResult]) -> Table {
     let head = Table::new(["task", "result"]);
     results.iter().fold(head, |table, item| {
         table.with_row([item.id.clone(), item.result.to_string()])
     })
 }
 
-fn list(tasks: &[String]) -> String {
+fn join_ids(tasks: &[String]) -> String {
     if tasks.is_empty() {
         return "none".to_owned();
     }
--- a/crates/cassiarock-operator/src/run/config.rs
+++ b/crates/cassiarock-operator/src/run/config.rs
@@ -1,8 +1,8 @@
 //! `config`.
 
-use super::force;
 use super::platform::Platform;
-use crate::progress::during;
+use super::rollout;
+use crate::progress::with_progress;
 use crate::{Config, Error, Report, document};
 use cassiarock_settings::Client;
 use serde_json::json;
@@ -18,14 +18,14 @@
             based_on,
             file,
         } => {
-            let configuration = document::typed(file)?;
+            let configuration = document::read_as(file)?;
             let mut platform = Platform::new(settings)?;
             let version = platform.state().await?.version;
             let based_on = based_on.unwrap_or(version);
             let publisher = platform.publisher();
-            let answer = during(STEP, publisher.configure(based_on, configuration)).await;
-            let change = platform.settle(STEP, answer)?;
-            force::report(settings, &mut platform, change, *wait).await
+            let answer = with_progress(STEP, publisher.configure(based_on, configuration)).await;
+            let change = platform.change_outcome(STEP, answer)?;
+            rollout::report_change(settings, &mut platform, change, *wait).await
         }
     }
 }
--- a/crates/cassiarock-operator/src/run/explain.rs
+++ b/crates/cassiarock-operator/src/run/explain.rs
@@ -10,10 +10,11 @@
 
 const STEP: &str = "explain the request";
 
-/// The HTTP status of an answer.
+/// HTTP status of a successful explanation.
 const OK: u16 = 200;
 
-/// Asks the first entry that answers: it decides with its own rules, loads and place.
+/// Asks the first entry that answers. It evaluates the request with its own rules, pool
+/// loads and data centre.
 pub async fn run(settings: &Client, explain: &Explain) -> Result<Report, Error> {
     let http = Http::new(settings.timeout)?;
     let body = json!({
@@ -34,20 +35,20 @@
             .post(STEP, entry, "/explain", &body, Duration::ZERO)
             .await
         {
-            Ok(reply) if reply.status == OK => return shown(entry, reply),
+            Ok(reply) if reply.status == OK => return to_report(entry, reply),
             Ok(reply) => {
                 return Err(Error::Refused {
                     step: STEP,
                     reason: format!("{entry}: status {}: {}", reply.status, reply.body),
                 });
             }
-            Err(loss) => last = loss.error,
+            Err(failure) => last = failure.error,
         }
     }
     Err(last)
 }
 
-fn shown(entry: &str, reply: Reply) -> Result<Report, Error> {
+fn to_report(entry: &str, reply: Reply) -> Result<Report, Error> {
     let explanation =
         Explanation::deserialize(reply.body).map_err(|error| Error::InvalidResponse {
             step: STEP,
--- a/crates/cassiarock-operator/src/run/mod.rs
+++ b/crates/cassiarock-operator/src/run/mod.rs
@@ -1,14 +1,14 @@
-//! Carrying out commands.
+//! Execution of commands.
 
 mod answer;
 mod cancel;
-mod census;
 mod check;
 mod config;
 mod explain;
-mod force;
 mod platform;
+mod probe;
 mod restore;
+mod rollout;
 mod rules;
 mod simulate;
 mod status;
@@ -20,7 +20,7 @@
 use cassiarock_rule::State;
 use cassiarock_settings::Client;
 
-/// Carries out a command and returns what to show.
+/// Executes a command and returns its report.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -43,7 +43,7 @@
     }
 }
 
-/// Carries out an action with these settings.
+/// Executes an action with these settings.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -72,7 +72,7 @@
     }
 }
 
-/// The version in force and who made it.
+/// Describes the version in force and its author.
 fn version(state: &State) -> String {
     match &state.change {
         Some(change) => format!("version {} by {}", state.version, change.by),
--- a/crates/cassiarock-operator/src/run/platform.rs
+++ b/crates/cassiarock-operator/src/run/platform.rs
@@ -1,38 +1,38 @@
-//! The platform's log, as operators' commands use it.
+//! Access to the platform's log for the operators' commands.
 
 use crate::Error;
-use crate::progress::during;
+use crate::progress::with_progress;
 use cassiarock_id::{Name, Wall};
 use cassiarock_platform::publish::{Answer, append};
-use cassiarock_platform::{Error as Cause, Log, Publisher};
+use cassiarock_platform::{Error as PlatformError, Log, Publisher};
 use cassiarock_rule::record::Body;
 use cassiarock_rule::{Configuration, Difference, Record, RuleSet, State, edit, effect::Reason};
 use cassiarock_settings::Client;
 use std::time::Duration;
 
-/// The log on behalf of one operator.
+/// The log, read and written in the name of one operator.
 pub struct Platform {
     log: Log,
     publisher: Publisher,
     operator: Name,
     patience: Duration,
-    peer: String,
+    log_url: String,
 }
 
-/// What became of a change that was not rejected.
+/// The outcome of a change that was not rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// It counts, and is in force where the log has been read this far.
+    /// Accepted as this version; in force at each process that has read the log up to it.
     Accepted(u64),
-    /// It asked for what was already so.
+    /// The state already was as requested.
     Unchanged,
 }
 
 impl Platform {
-    /// The log named in the settings; connects with the first call.
+    /// Opens the log named in the settings; the first call connects.
     pub fn new(settings: &Client) -> Result<Self, Error> {
         let log = Log::new(&settings.log)
-            .map_err(|error| failed("connect to the log", &settings.log, error))?
+            .map_err(|error| log_error("connect to the log", &settings.log, error))?
             .with_timeout(settings.timeout);
         let operator = settings.operator.clone();
         let publisher = Publisher::new(log.clone(), operator.clone());
@@ -41,40 +41,42 @@
             publisher: publisher.with_patience(settings.wait),
             operator,
             patience: settings.wait,
-            peer: settings.log.clone(),
+            log_url: settings.log.clone(),
         })
     }
 
-    /// The state at the end of the log.
+    /// Reads the state at the end of the log.
     pub async fn state(&mut self) -> Result<State, Error> {
         const STEP: &str = "read the log";
-        let state = during(STEP, self.publisher.state()).await;
-        state.map_err(|error| failed(STEP, &self.peer, error))
+        let state = with_progress(STEP, self.publisher.state()).await;
+        state.map_err(|error| log_error(STEP, &self.log_url, error))
     }
 
-    /// Begins anew on a log whose state nobody can know, and gives the new version. The
-    /// record counts only at the end of the log as it was seen here, so that of two
-    /// operators who restore at once one wins.
+    /// Starts over on a truncated log, whose state cannot be rebuilt, and returns the new
+    /// version. The record is valid only at the end of the log that was read here, so that
+    /// one of two concurrent restores wins.
     pub async fn restore(&mut self, set: RuleSet, config: Configuration) -> Result<u64, Error> {
         const STEP: &str = "restore";
-        match during(STEP, self.publisher.state()).await {
-            Err(Cause::Cut { .. }) => {}
-            Err(error) => return Err(failed(STEP, &self.peer, error)),
+        match with_progress(STEP, self.publisher.state()).await {
+            Err(PlatformError::Cut { .. }) => {}
+            Err(error) => return Err(log_error(STEP, &self.log_url, error)),
             Ok(state) => {
                 let reason = format!("the log can be read, at version {}", state.version);
                 return Err(Error::Refused { step: STEP, reason });
             }
         }
         let edges = self.log.edges().await;
-        let end = edges.map_err(|error| failed(STEP, &self.peer, error))?.end;
+        let end = edges
+            .map_err(|error| log_error(STEP, &self.log_url, error))?
+            .end;
         let body = Body::Restore {
             end,
             set,
             configuration: config,
         };
         let record = Record::new(Wall::now(), self.operator.clone(), body);
-        let appended = during(STEP, append(&self.log, &record, end, self.patience)).await;
-        let offset = appended.map_err(|error| failed(STEP, &self.peer, error))?;
+        let appended = with_progress(STEP, append(&self.log, &record, end, self.patience)).await;
+        let offset = appended.map_err(|error| log_error(STEP, &self.log_url, error))?;
         if offset != end {
             let reason = "another record came first; repeat the command".to_owned();
             return Err(Error::Conflict { step: STEP, reason });
@@ -82,31 +84,32 @@
         Ok(offset + 1)
     }
 
-    /// The publisher, for one change.
+    /// Returns the publisher of changes.
     pub const fn publisher(&mut self) -> &mut Publisher {
         &mut self.publisher
     }
 
-    /// What became of the change of `step`.
-    pub fn settle(
+    /// Converts the answer to the change that `step` describes.
+    pub fn change_outcome(
         &self,
         step: &'static str,
-        answer: Result<Answer, Cause>,
+        answer: Result<Answer, PlatformError>,
     ) -> Result<Change, Error> {
-        match answer.map_err(|error| failed(step, &self.peer, error))? {
+        match answer.map_err(|error| log_error(step, &self.log_url, error))? {
             Answer::Accepted { version } => Ok(Change::Accepted(version)),
             Answer::Unchanged => Ok(Change::Unchanged),
             Answer::Rejected {
                 reason, difference, ..
-            } => Err(rejected(step, &reason, &difference)),
+            } => Err(rejection_error(step, &reason, &difference)),
         }
     }
 }
 
-/// Sorts a failure of the log by whether the change may count all the same.
-fn failed(step: &'static str, peer: &str, error: Cause) -> Error {
+/// Distinguishes failures after which the change may be in force from those after which it
+/// is not.
+fn log_error(step: &'static str, peer: &str, error: PlatformError) -> Error {
     match error {
-        Cause::Unsettled { .. } => Error::Unsettled {
+        PlatformError::Unsettled { .. } => Error::Unsettled {
             step,
             reason: error.to_string(),
         },
@@ -118,11 +121,11 @@
     }
 }
 
-fn rejected(step: &'static str, reason: &Reason, difference: &Difference) -> Error {
+fn rejection_error(step: &'static str, reason: &Reason, difference: &Difference) -> Error {
     match reason {
         Reason::Conflict { .. } => Error::Conflict {
             step,
-            reason: conflict(reason, difference),
+            reason: conflict_message(reason, difference),
         },
         Reason::Edit {
             error: edit::Error::Unknown(name),
@@ -146,8 +149,8 @@
     }
 }
 
-/// What the loser of a race needs: who was first, and with what.
-fn conflict(reason: &Reason, difference: &Difference) -> String {
+/// Describes the change that won the race: its author and its content.
+fn conflict_message(reason: &Reason, difference: &Difference) -> String {
     let advice = "look at it, and repeat the command if still wanted";
     if difference.lines.is_empty() {
         return format!("{reason}; {advice}");
--- a/crates/cassiarock-operator/src/run/census.rs
+++ b/crates/cassiarock-operator/src/run/probe.rs
@@ -1,4 +1,4 @@
-//! Asking every process for its status.
+//! Status queries to all processes.
 
 use crate::http::Http;
 use cassiarock_process::Status;
@@ -12,11 +12,11 @@
 
 const STEP: &str = "ask for the status";
 
-/// Questions in flight at a time: enough that thousands of agents answer in a few
-/// seconds, few enough not to run out of the client's sockets.
-const AT_ONCE: usize = 128;
+/// Limit of concurrent requests: thousands of agents answer within a few seconds, and the
+/// client does not run out of sockets.
+const MAX_CONCURRENT_REQUESTS: usize = 128;
 
-/// A process to ask.
+/// A process to query.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
     /// Its name, or its URL if the name is not known.
@@ -25,16 +25,16 @@
     pub url: Option<String>,
 }
 
-/// What came of asking one process.
+/// The result of querying one process.
 #[derive(Clone, Debug)]
-pub struct Finding {
-    /// Who was asked.
+pub struct ProbeResult {
+    /// The process that was queried.
     pub target: Target,
     /// Its status, or why there is none.
     pub status: Result<Status, String>,
 }
 
-/// The entries of the settings and the agents of the membership.
+/// Lists the entries of the settings and the agents of the membership.
 pub fn targets(settings: &Client, membership: Option<&Membership>) -> Vec<Target> {
     let entries = settings.status.iter().map(|url| Target {
         name: url.clone(),
@@ -48,32 +48,32 @@
     entries.chain(agents).collect()
 }
 
-/// Asks all targets side by side; the findings are in the order of the targets.
-pub async fn ask(http: &Http, targets: &[Target]) -> Vec<Finding> {
-    let room = Arc::new(Semaphore::new(AT_ONCE));
-    let mut questions = JoinSet::new();
-    for (place, target) in targets.iter().cloned().enumerate() {
-        let (http, room) = (http.clone(), Arc::clone(&room));
-        questions.spawn(async move {
-            let _turn = room.acquire_owned().await;
-            (place, question(&http, target).await)
+/// Queries all targets concurrently and returns the results in the order of the targets.
+pub async fn query_all(http: &Http, targets: &[Target]) -> Vec<ProbeResult> {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_REQUESTS));
+    let mut queries = JoinSet::new();
+    for (index, target) in targets.iter().cloned().enumerate() {
+        let (http, permits) = (http.clone(), Arc::clone(&permits));
+        queries.spawn(async move {
+            let _permit = permits.acquire_owned().await;
+            (index, query(&http, target).await)
         });
     }
-    let mut findings = questions.join_all().await;
-    findings.sort_by_key(|(place, _)| *place);
-    findings.into_iter().map(|(_, finding)| finding).collect()
+    let mut results = queries.join_all().await;
+    results.sort_by_key(|(index, _)| *index);
+    results.into_iter().map(|(_, result)| result).collect()
 }
 
-async fn question(http: &Http, target: Target) -> Finding {
+async fn query(http: &Http, target: Target) -> ProbeResult {
     let Some(url) = target.url.clone() else {
         let status = Err("announced no status address".to_owned());
-        return Finding { target, status };
+        return ProbeResult { target, status };
     };
     let reply = http.get(STEP, &url, "/status", Duration::ZERO).await;
     let status = reply
-        .map_err(|loss| loss.error.to_string())
+        .map_err(|failure| failure.error.to_string())
         .and_then(|reply| {
             Status::deserialize(reply.body).map_err(|error| format!("answered no status: {error}"))
         });
-    Finding { target, status }
+    ProbeResult { target, status }
 }
--- a/crates/cassiarock-operator/src/run/force.rs
+++ b/crates/cassiarock-operator/src/run/rollout.rs
@@ -1,7 +1,7 @@
 //! Waiting until a change is in force everywhere.
 
-use super::census::{self, Finding};
 use super::platform::{Change, Platform};
+use super::probe::{self, ProbeResult};
 use crate::http::Http;
 use crate::progress::Progress;
 use crate::{Error, Exit, Report};
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The pause between two rounds of asking everybody.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Delay between two rounds of status queries.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Reports a change, after waiting until it is in force if `wait` is set.
-pub async fn report(
+pub async fn report_change(
     settings: &Client,
     platform: &mut Platform,
     change: Change,
@@ -33,52 +33,53 @@
             text,
         ));
     }
-    // The membership may have changed with the record itself, so it is read again.
+    // The published record itself may have changed the membership, so it is read again.
     let state = platform.state().await?;
-    let targets = census::targets(settings, Some(&state.membership));
+    let targets = probe::targets(settings, Some(&state.membership));
     let total = targets.len();
-    let began = Instant::now();
-    let lagging = until(settings, &targets, version).await?;
-    Ok(result(version, total, &lagging, began.elapsed()))
+    let started_at = Instant::now();
+    let lagging = wait_for_version(settings, &targets, version).await?;
+    Ok(result(version, total, &lagging, started_at.elapsed()))
 }
 
-/// Asks until nobody lags or the wait is over, and returns who still lags.
-async fn until(
+/// Polls until every target has the version in force or the wait is over, and returns the
+/// targets that still lag.
+async fn wait_for_version(
     settings: &Client,
-    targets: &[census::Target],
+    targets: &[probe::Target],
     version: u64,
 ) -> Result<Vec<String>, Error> {
     let http = Http::new(settings.timeout)?;
     let deadline = Instant::now() + settings.wait;
     let mut progress = Progress::new();
-    let mut left = targets.to_vec();
+    let mut remaining = targets.to_vec();
     loop {
-        let findings = census::ask(&http, &left).await;
-        let behind: Vec<Finding> = findings
+        let results = probe::query_all(&http, &remaining).await;
+        let lagging: Vec<ProbeResult> = results
             .into_iter()
-            .filter(|one| lags(one, version))
+            .filter(|one| is_lagging(one, version))
             .collect();
-        let names: Vec<String> = behind.iter().map(describe).collect();
-        if behind.is_empty() || Instant::now() >= deadline {
+        let names: Vec<String> = lagging.iter().map(describe).collect();
+        if lagging.is_empty() || Instant::now() >= deadline {
             return Ok(names);
         }
-        progress.tell(|| format!("version {version} not yet in force at {}", names.join(", ")));
-        left = behind.into_iter().map(|finding| finding.target).collect();
-        sleep(PAUSE).await;
+        progress.report(|| format!("version {version} not yet in force at {}", names.join(", ")));
+        remaining = lagging.into_iter().map(|result| result.target).collect();
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn lags(finding: &Finding, version: u64) -> bool {
-    finding
+fn is_lagging(result: &ProbeResult, version: u64) -> bool {
+    result
         .status
         .as_ref()
         .map_or(true, |status| status.next < version)
 }
 
-fn describe(finding: &Finding) -> String {
-    match &finding.status {
+fn describe(result: &ProbeResult) -> String {
+    match &result.status {
         Ok(status) => format!("{} (at {})", status.process.name, status.next),
-        Err(reason) => format!("{} ({reason})", finding.target.name),
+        Err(reason) => format!("{} ({reason})", result.target.name),
     }
 }
 
--- a/crates/cassiarock-operator/src/run/rules.rs
+++ b/crates/cassiarock-operator/src/run/rules.rs
@@ -1,8 +1,8 @@
 //! `rules`.
 
-use super::force;
 use super::platform::Platform;
-use crate::progress::during;
+use super::rollout;
+use crate::progress::with_progress;
 use crate::{Error, Report, Rules, Table, document};
 use cassiarock_rule::{Action, Configuration, Edit, RuleSet, State, source};
 use cassiarock_settings::Client;
@@ -23,7 +23,7 @@
         },
         Rules::Insert { at, file, .. } => Edit::Insert {
             at: at.map_or(state.rules.rules.len(), index),
-            rule: document::typed(file)?,
+            rule: document::read_as(file)?,
         },
         Rules::Move { to, rule, .. } => Edit::Move {
             name: rule.clone(),
@@ -32,14 +32,14 @@
         Rules::Delete { rule, .. } => Edit::Delete { name: rule.clone() },
     };
     let based_on = based_on(rules).unwrap_or(state.version);
-    let answer = during(STEP, platform.publisher().edit(based_on, vec![edit])).await;
-    let change = platform.settle(STEP, answer)?;
-    force::report(settings, &mut platform, change, waits(rules)).await
+    let answer = with_progress(STEP, platform.publisher().edit(based_on, vec![edit])).await;
+    let change = platform.change_outcome(STEP, answer)?;
+    rollout::report_change(settings, &mut platform, change, waits(rules)).await
 }
 
-/// Checks a file against a configuration file, without the system.
+/// Checks a file against a configuration file, without reading the log.
 pub fn check_alone(file: &Path, config: &Path) -> Result<Report, Error> {
-    check(file, &document::typed(config)?)
+    check(file, &document::read_as(config)?)
 }
 
 fn check(file: &Path, configuration: &Configuration) -> Result<Report, Error> {
@@ -50,11 +50,11 @@
 
 /// Reads and checks a file of rules.
 pub fn read(file: &Path, configuration: &Configuration) -> Result<RuleSet, Error> {
-    let set = source::read(&document::text(file)?, configuration);
-    set.map_err(|error| document::input(file, error.to_string()))
+    let set = source::read(&document::read_text(file)?, configuration);
+    set.map_err(|error| document::input_error(file, error.to_string()))
 }
 
-/// Operators count from 1, the log from 0.
+/// Converts a place, which counts from 1, to an index of the rule list.
 const fn index(place: usize) -> usize {
     place.saturating_sub(1)
 }
@@ -91,7 +91,7 @@
     Report::new(&json, format!("{}\n\n{table}", super::version(state)))
 }
 
-/// What a rule does, in words.
+/// Describes the action of a rule.
 pub fn action(action: &Action) -> String {
     match action {
         Action::Run(run) => format!("run in {}", run.pool),
--- a/crates/cassiarock-operator/src/run/simulate.rs
+++ b/crates/cassiarock-operator/src/run/simulate.rs
@@ -1,71 +1,71 @@
-//! Playing scenarios.
+//! `simulate`.
 
 use crate::{Error, Exit, Report, Simulate};
 use cassiarock_lab::{Scenario, ScenarioResult};
 use cassiarock_transient::scheduler::Mechanisms;
 use serde::Serialize;
 
-/// One scenario's figures.
+/// The figures of one simulation run.
 #[derive(Debug, Serialize)]
-struct Played {
+struct Run {
     scenario: String,
-    /// The mechanism that was left out, if one was.
+    /// The disabled mechanism, if any.
     without: Option<&'static str>,
     figures: ScenarioResult,
 }
 
-/// Plays the scenarios. All are read first, so that nothing is played if one is wrong.
+/// Simulates the scenarios. All are read first, so that no simulation runs if one is invalid.
 pub fn run(simulate: &Simulate) -> Result<Report, Error> {
     let scenarios = simulate.files.iter();
     let scenarios = scenarios.map(|file| Ok((file.display().to_string(), Scenario::load(file)?)));
     let scenarios: Vec<(String, Scenario)> = scenarios.collect::<Result<_, Error>>()?;
     let variants = variants(simulate)?;
-    let mut played = Vec::new();
+    let mut runs = Vec::new();
     for (file, scenario) in &scenarios {
         for (without, mechanisms) in &variants {
-            played.push(Played {
+            runs.push(Run {
                 scenario: file.clone(),
                 without: *without,
                 figures: cassiarock_lab::simulate(scenario, *mechanisms),
             });
         }
     }
-    let is_broken = played.iter().any(|one| !one.figures.violations.is_empty());
+    let is_broken = runs.iter().any(|run| !run.figures.violations.is_empty());
     let text = if simulate.ablate {
-        table(&played)
+        table(&runs)
     } else {
-        let texts = played.iter();
-        let texts = texts.map(|one| format!("{}\n{}\n", one.scenario, one.figures));
+        let texts = runs.iter();
+        let texts = texts.map(|run| format!("{}\n{}\n", run.scenario, run.figures));
         texts.collect::<Vec<_>>().join("\n")
     };
     let exit = if is_broken { Exit::Failed } else { Exit::Done };
-    Ok(Report::new(&played, text).with_exit(exit))
+    Ok(Report::new(&runs, text).with_exit(exit))
 }
 
-/// What is played of each scenario: all mechanisms, and what is left out.
+/// Lists the sets of mechanisms to simulate each scenario with.
 fn variants(simulate: &Simulate) -> Result<Vec<(Option<&'static str>, Mechanisms)>, Error> {
-    let whole = (None, Mechanisms::default());
+    let complete = (None, Mechanisms::default());
     let without = |name| Mechanisms::without(name).map(|mechanisms| (Some(name), mechanisms));
     if simulate.ablate {
         let each = Mechanisms::names().filter_map(without);
-        return Ok([whole].into_iter().chain(each).collect());
+        return Ok([complete].into_iter().chain(each).collect());
     }
-    let Some(wanted) = &simulate.without else {
-        return Ok(vec![whole]);
+    let Some(requested) = &simulate.without else {
+        return Ok(vec![complete]);
     };
-    let name = Mechanisms::names().find(|name| name == wanted);
+    let name = Mechanisms::names().find(|name| name == requested);
     let found = name.and_then(without).ok_or_else(|| Error::Input {
         input: "--without".to_owned(),
         reason: format!(
-            "there is no mechanism {wanted:?}; name one of {}",
+            "there is no mechanism {requested:?}; name one of {}",
             Mechanisms::names().collect::<Vec<_>>().join(", ")
         ),
     })?;
     Ok(vec![found])
 }
 
-/// A row for each scenario and mechanism left out.
-fn table(played: &[Played]) -> String {
+/// Formats a row for each scenario and disabled mechanism.
+fn table(runs: &[Run]) -> String {
     let mut text = format!(
         "{:<36} {:<14} {:>7} {:>8} {:>10} {:>8} {:>8} {:>8} {:>11}\n",
         "scenario",
@@ -78,22 +78,22 @@
         "thrown",
         "worst kind"
     );
-    for one in played {
-        let kinds = one.figures.totals_by_kind();
+    for run in runs {
+        let kinds = run.figures.totals_by_kind();
         let worst = kinds.iter().map(cassiarock_lab::KindResult::in_time_share);
         text += &format!(
             "{:<36} {:<14} {:>7.3} {:>8.3} {:>10.4} {:>8.3} {:>8.3} {:>8.3} {:>11.3}\n",
-            one.scenario,
-            one.without.unwrap_or("-"),
-            one.figures.worth,
-            one.figures.worth_deviation,
-            one.figures.unserved,
-            one.figures.in_time,
-            one.figures.in_time_bound,
-            one.figures.wasted_work,
+            run.scenario,
+            run.without.unwrap_or("-"),
+            run.figures.worth,
+            run.figures.worth_deviation,
+            run.figures.unserved,
+            run.figures.in_time,
+            run.figures.in_time_bound,
+            run.figures.wasted_work,
             worst.fold(1.0, f64::min)
         );
-        for fault in &one.figures.violations {
+        for fault in &run.figures.violations {
             text += &format!("BROKEN {fault}\n");
         }
     }
--- a/crates/cassiarock-operator/src/run/status.rs
+++ b/crates/cassiarock-operator/src/run/status.rs
@@ -1,7 +1,7 @@
 //! `status`.
 
-use super::census::{self, Finding};
 use super::platform::Platform;
+use super::probe::{self, ProbeResult};
 use crate::http::Http;
 use crate::{Error, Exit, Report, Table};
 use cassiarock_id::{Name, Wall};
@@ -10,28 +10,24 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Shows every process. In an outage of the log the agents cannot be listed; the entries
-/// are shown all the same, since that is when an operator looks.
+/// Shows the status of every process. During an outage of the log the agents cannot be
+/// listed, but the entries are still shown.
 pub async fn run(settings: &Client) -> Result<Report, Error> {
     let state = match Platform::new(settings) {
         Ok(mut platform) => platform.state().await,
         Err(error) => Err(error),
     };
     let membership = state.as_ref().ok().map(|state| &*state.membership);
-    let targets = census::targets(settings, membership);
+    let targets = probe::targets(settings, membership);
     let http = Http::new(settings.timeout)?;
-    let findings = census::ask(&http, &targets).await;
+    let results = probe::query_all(&http, &targets).await;
     let log = state.as_ref().map_or_else(ToString::to_string, |state| {
         format!("ends at {}, {}", state.next, super::version(state))
     });
-    let complete = state.is_ok() && findings.iter().all(|finding| finding.status.is_ok());
+    let complete = state.is_ok() && results.iter().all(|result| result.status.is_ok());
     let report = Report::new(
-        &machine(&log, &findings),
-        format!(
-            "log: {log}\n\n{}{}",
-            table(&findings),
-            evacuations(&findings)
-        ),
+        &to_json(&log, &results),
+        format!("log: {log}\n\n{}{}", table(&results), evacuations(&results)),
     );
     Ok(if complete {
         report
@@ -40,18 +36,18 @@
     })
 }
 
-fn machine(log: &str, findings: &[Finding]) -> Value {
-    let processes: Vec<Value> = findings
+fn to_json(log: &str, results: &[ProbeResult]) -> Value {
+    let processes: Vec<Value> = results
         .iter()
-        .map(|finding| match &finding.status {
-            Ok(status) => json!({ "name": finding.target.name, "status": status }),
-            Err(reason) => json!({ "name": finding.target.name, "error": reason }),
+        .map(|result| match &result.status {
+            Ok(status) => json!({ "name": result.target.name, "status": status }),
+            Err(reason) => json!({ "name": result.target.name, "error": reason }),
         })
         .collect();
     json!({ "log": log, "processes": processes })
 }
 
-fn table(findings: &[Finding]) -> Table {
+fn table(results: &[ProbeResult]) -> Table {
     let head = Table::new([
         "process",
         "role",
@@ -65,36 +61,41 @@
         "links",
         "state",
     ]);
-    findings
+    results
         .iter()
-        .fold(head, |table, finding| match &finding.status {
+        .fold(head, |table, result| match &result.status {
             Ok(status) => table.with_row(row(status)),
-            Err(reason) => table.with_row(unknown(&finding.target.name, reason)),
+            Err(reason) => table.with_row(unreachable_row(&result.target.name, reason)),
         })
 }
 
-/// The data centres that operators are emptying, with what all entries still have there.
-fn evacuations(findings: &[Finding]) -> String {
-    let mut emptied: BTreeMap<&Name, (Wall, usize)> = BTreeMap::new();
-    let statuses = findings
+/// Formats the data centres under evacuation, with the tasks that all entries still have
+/// there.
+fn evacuations(results: &[ProbeResult]) -> String {
+    let mut evacuated: BTreeMap<&Name, (Wall, usize)> = BTreeMap::new();
+    let statuses = results
         .iter()
-        .filter_map(|found| found.status.as_ref().ok());
+        .filter_map(|result| result.status.as_ref().ok());
     for evacuation in statuses.flat_map(|status| &status.evacuations) {
         let first = (evacuation.since, 0);
-        let (since, tasks) = emptied.entry(&evacuation.data_centre).or_insert(first);
+        let (since, tasks) = evacuated.entry(&evacuation.data_centre).or_insert(first);
         *since = evacuation.since.min(*since);
         *tasks += evacuation.tasks;
     }
-    if emptied.is_empty() {
+    if evacuated.is_empty() {
         return String::new();
     }
     let now = Wall::now();
     let head = Table::new(["emptied", "for", "tasks left"]);
-    let table = emptied
+    let table = evacuated
         .into_iter()
-        .fold(head, |table, (place, (since, tasks))| {
+        .fold(head, |table, (data_centre, (since, tasks))| {
             let seconds = now.since(since).as_secs();
-            table.with_row([place.to_string(), format!("{seconds} s"), tasks.to_string()])
+            table.with_row([
+                data_centre.to_string(),
+                format!("{seconds} s"),
+                tasks.to_string(),
+            ])
         });
     format!("\n{table}")
 }
@@ -115,7 +116,7 @@
     ]
 }
 
-fn unknown(name: &str, reason: &str) -> [String; 11] {
+fn unreachable_row(name: &str, reason: &str) -> [String; 11] {
     let blank = || "-".to_owned();
     [
         name.to_owned(),
--- a/crates/cassiarock-operator/src/run/submit.rs
+++ b/crates/cassiarock-operator/src/run/submit.rs
@@ -1,8 +1,8 @@
-//! `submit`: one job, asked for until it has its answer.
+//! `submit`: submits one job and polls until it has its answer.
 
 use super::answer::{Answer, Outcome};
 use crate::document;
-use crate::http::{Http, Loss};
+use crate::http::{ExchangeError, Http};
 use crate::progress::Progress;
 use crate::{Error, Report, Submit};
 use cassiarock_id::{Job, Wall};
@@ -14,35 +14,34 @@
 
 const STEP: &str = "submit the job";
 
-/// An entry holds one exchange back for at most this long, so that progress shows.
-const SLICE: Duration = Duration::from_secs(1);
+/// Longest time that an entry may delay one response; short enough to print progress.
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// The pause before the next entry is asked, so that entries that are all down are not
-/// asked in a tight loop.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay before the next entry is tried; avoids a busy loop when all entries are down.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How often each entry is tried before a job that was never sent counts as unreachable.
-const ROUNDS: usize = 2;
+/// Attempts at each entry before the command gives up on a job that was never sent.
+const ATTEMPTS_PER_ENTRY: usize = 2;
 
-/// Submits the job in the file, and waits for its answer unless told to return at once.
+/// Submits the job in the file and waits for its answer, unless `--detach` is given.
 pub async fn run(settings: &Client, submit: &Submit) -> Result<Report, Error> {
     let (job, body) = load(&submit.file)?;
-    let errand = Errand {
+    let submission = Submission {
         http: Http::new(settings.timeout)?,
         job,
         detach: submit.detach,
         until: Instant::now() + deadline(&body) + settings.timeout,
         body,
     };
-    Ok(errand.run(&settings.entries).await?.report())
+    Ok(submission.run(&settings.entries).await?.report())
 }
 
-/// Reads the job and gives it an id if it has none. The id is shown before anything is
-/// sent: without it an operator could not ask again after the client is gone.
+/// Reads the job and assigns an id if it has none. The id is printed before anything is
+/// sent, so that the operator can query the job after the client was terminated.
 fn load(file: &Path) -> Result<(Job, Value), Error> {
     let mut body = document::read(file)?;
     let Some(object) = body.as_object_mut() else {
-        return Err(document::input(file, "a job is a JSON object"));
+        return Err(document::input_error(file, "a job is a JSON object"));
     };
     let id = object.entry("id").or_insert_with(|| {
         let job = Job::new(Wall::now());
@@ -50,7 +49,7 @@
         json!(job)
     });
     let job = id.as_str().unwrap_or_default().parse();
-    let job = job.map_err(|error| document::input(file, format!("field `id`: {error}")))?;
+    let job = job.map_err(|error| document::input_error(file, format!("field `id`: {error}")))?;
     Ok((job, body))
 }
 
@@ -58,8 +57,8 @@
     Duration::from_millis(body["deadline_ms"].as_u64().unwrap_or_default())
 }
 
-/// A job on its way.
-struct Errand {
+/// The submission of one job.
+struct Submission {
     http: Http,
     job: Job,
     body: Value,
@@ -67,43 +66,48 @@
     until: Instant,
 }
 
-impl Errand {
-    /// Asks one entry after the other. The same id goes to the next entry when one is
-    /// lost midway: a second submission attaches to the first and starts nothing twice.
+impl Submission {
+    /// Tries one entry after the other. When an entry fails midway, the next one gets the
+    /// job under the same id: a second submission attaches to the first and starts no task
+    /// twice.
     async fn run(&self, entries: &[String]) -> Result<Answer, Error> {
         let mut progress = Progress::new();
         let mut sent = false;
         let mut last = None;
-        for (turn, entry) in entries.iter().cycle().enumerate() {
-            let spent = turn >= ROUNDS * entries.len();
-            if (spent && !sent) || Instant::now() >= self.until {
+        for (attempt, entry) in entries.iter().cycle().enumerate() {
+            let is_exhausted = attempt >= ATTEMPTS_PER_ENTRY * entries.len();
+            if (is_exhausted && !sent) || Instant::now() >= self.until {
                 break;
             }
-            match self.ask(entry, &mut progress).await {
-                Ok(answer) if answer.retry().is_none() => return Ok(answer),
+            match self.submit_to(entry, &mut progress).await {
+                Ok(answer) if answer.retry_after().is_none() => return Ok(answer),
                 Ok(answer) => {
-                    let pause = answer.retry().unwrap_or(PAUSE);
-                    progress.tell(|| format!("{entry} takes nothing now"));
+                    let delay = answer.retry_after().unwrap_or(RETRY_DELAY);
+                    progress.report(|| format!("{entry} accepts no jobs at the moment"));
                     last = Some(Ok(answer));
-                    sleep(pause.min(SLICE)).await;
+                    sleep(delay.min(MAX_WAIT)).await;
                 }
-                Err(loss) => {
-                    progress.tell(|| loss.error.to_string());
-                    sent |= loss.sent;
-                    last = Some(Err(loss));
-                    sleep(PAUSE).await;
+                Err(failure) => {
+                    progress.report(|| failure.error.to_string());
+                    sent |= failure.sent;
+                    last = Some(Err(failure));
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
-        self.give_up(sent, last)
+        self.final_result(sent, last)
     }
 
-    fn give_up(&self, sent: bool, last: Option<Result<Answer, Loss>>) -> Result<Answer, Error> {
+    fn final_result(
+        &self,
+        sent: bool,
+        last: Option<Result<Answer, ExchangeError>>,
+    ) -> Result<Answer, Error> {
         match last {
             Some(Ok(answer)) if !sent => Ok(answer),
-            Some(Err(loss)) if !sent => Err(loss.error),
-            Some(Ok(_)) => Err(self.unsettled("no entry takes it now")),
-            Some(Err(loss)) => Err(self.unsettled(&loss.error.to_string())),
+            Some(Err(failure)) if !sent => Err(failure.error),
+            Some(Ok(_)) => Err(self.unsettled("no entry accepts jobs at the moment")),
+            Some(Err(failure)) => Err(self.unsettled(&failure.error.to_string())),
             None => Err(self.unsettled("the deadline passed")),
         }
     }
@@ -112,48 +116,54 @@
         Error::Unsettled {
             step: STEP,
             reason: format!(
-                "{reason}; submit job {} again under the same id to learn",
+                "{reason}; submit job {} again under the same id to see its outcome",
                 self.job
             ),
         }
     }
 
     /// Submits to one entry and polls it until the job has its answer.
-    async fn ask(&self, entry: &str, progress: &mut Progress) -> Result<Answer, Loss> {
-        let path = format!("/v1/jobs?wait={}", self.slice());
+    async fn submit_to(
+        &self,
+        entry: &str,
+        progress: &mut Progress,
+    ) -> Result<Answer, ExchangeError> {
+        let path = format!("/v1/jobs?wait={}", self.wait_seconds());
         let posted = self
             .http
-            .post(STEP, entry, &path, &self.body, SLICE)
+            .post(STEP, entry, &path, &self.body, MAX_WAIT)
             .await?;
-        let mut answer = Answer::new(STEP, entry, posted).map_err(sent)?;
-        while matches!(answer.outcome, Outcome::Running) && !self.over() {
-            progress.tell(|| format!("job {} runs at {entry}", self.job));
-            let path = format!("/v1/jobs/{}?wait={}", self.job, self.slice());
+        let mut answer = Answer::new(STEP, entry, posted).map_err(after_sending)?;
+        while matches!(answer.outcome, Outcome::Running) && !self.is_over() {
+            progress.report(|| format!("job {} runs at {entry}", self.job));
+            let path = format!("/v1/jobs/{}?wait={}", self.job, self.wait_seconds());
             let found = self
                 .http
-                .get(STEP, entry, &path, SLICE)
+                .get(STEP, entry, &path, MAX_WAIT)
                 .await
-                .map_err(|loss| sent(loss.error))?;
-            answer = Answer::new(STEP, entry, found).map_err(sent)?;
-            // The entry was replaced under its address: the next one knows nothing of a job
-            // that the earlier one had taken in, so the job is submitted again.
+                .map_err(|failure| after_sending(failure.error))?;
+            answer = Answer::new(STEP, entry, found).map_err(after_sending)?;
+            // The entry was replaced by a process at the same address that does not know the
+            // job which its predecessor accepted, so the job is submitted again.
             if matches!(answer.outcome, Outcome::Unknown { .. }) {
-                return Err(sent(self.unsettled("the entry that ran it is gone")));
+                return Err(after_sending(
+                    self.unsettled("the entry that ran it is gone"),
+                ));
             }
         }
         Ok(answer)
     }
 
-    fn slice(&self) -> u64 {
-        if self.detach { 0 } else { SLICE.as_secs() }
+    fn wait_seconds(&self) -> u64 {
+        if self.detach { 0 } else { MAX_WAIT.as_secs() }
     }
 
-    fn over(&self) -> bool {
+    fn is_over(&self) -> bool {
         self.detach || Instant::now() >= self.until
     }
 }
 
-/// A loss after the entry has, or may have, taken the job in.
-fn sent(error: Error) -> Loss {
-    Loss { sent: true, error }
+/// Marks an error after which the entry may have accepted the job.
+fn after_sending(error: Error) -> ExchangeError {
+    ExchangeError { sent: true, error }
 }
--- a/crates/cassiarock-operator/src/run/upstreams.rs
+++ b/crates/cassiarock-operator/src/run/upstreams.rs
@@ -1,8 +1,8 @@
 //! `upstreams` and `drain`.
 
-use super::force;
 use super::platform::Platform;
-use crate::progress::during;
+use super::rollout;
+use crate::progress::with_progress;
 use crate::{Drain, Error, Report, Table};
 use cassiarock_rule::Member;
 use cassiarock_settings::Client;
@@ -32,13 +32,13 @@
 pub async fn drain(settings: &Client, drain: &Drain) -> Result<Report, Error> {
     let mut platform = Platform::new(settings)?;
     let agent = drain.agent.clone();
-    let answer = during(
+    let answer = with_progress(
         STEP,
         platform.publisher().drain(agent, !drain.undo, drain.force),
     )
     .await;
-    let change = platform.settle(STEP, answer)?;
-    force::report(settings, &mut platform, change, drain.wait).await
+    let change = platform.change_outcome(STEP, answer)?;
+    rollout::report_change(settings, &mut platform, change, drain.wait).await
 }
 
 fn row(member: &Member) -> [String; 7] {
