--- a/crates/cassiarock-operator/src/report.rs
+++ b/crates/cassiarock-operator/src/report.rs
@@ -1,22 +1,22 @@
-//! What a command shows at its end.
+//! The printed result of a command.
 
 use crate::Exit;
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// The result of a command in both forms, with its exit code.
+/// The result of a command as JSON and as text, with its exit code.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// For machines, printed with `--json`.
+    /// Printed with `--json`.
     pub json: Value,
-    /// For people.
+    /// Printed without `--json`.
     pub text: String,
     /// How the command ended.
     pub exit: Exit,
 }
 
 impl Report {
-    /// A command that ended as asked.
+    /// Creates the report of a command that succeeded.
     ///
     /// ```
     /// use cassiarock_operator::{Exit, Report};
@@ -24,15 +24,15 @@
     /// assert_eq!(report.exit, Exit::Done);
     /// ```
     pub fn new(json: &impl Serialize, text: impl ToString) -> Self {
-        let unprintable = |error: serde_json::Error| json!({ "error": error.to_string() });
+        let serialization_error = |error: serde_json::Error| json!({ "error": error.to_string() });
         Self {
-            json: serde_json::to_value(json).unwrap_or_else(unprintable),
+            json: serde_json::to_value(json).unwrap_or_else(serialization_error),
             text: text.to_string(),
             exit: Exit::Done,
         }
     }
 
-    /// The same report with another ending.
+    /// Replaces the exit code.
     ///
     /// ```
     /// use cassiarock_operator::{Exit, Report};
@@ -44,7 +44,7 @@
         Self { exit, ..self }
     }
 
-    /// The text to print.
+    /// Returns the text to print.
     ///
     /// ```
     /// use cassiarock_operator::Report;
--- a/crates/cassiarock-operator/src/table.rs
+++ b/crates/cassiarock-operator/src/table.rs
@@ -1,8 +1,8 @@
-//! Tables for people.
+//! Text tables.
 
 use std::fmt;
 
-/// Rows under headings, printed in aligned columns.
+/// A table with column headings, printed in aligned columns.
 ///
 /// ```
 /// use cassiarock_operator::Table;
@@ -11,21 +11,21 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    head: Vec<String>,
+    header: Vec<String>,
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these headings and no rows.
-    pub fn new(head: impl IntoIterator<Item = impl Into<String>>) -> Self {
-        let head = head.into_iter().map(|name| name.into().to_uppercase());
+    /// Creates a table with these headings and no rows.
+    pub fn new(header: impl IntoIterator<Item = impl Into<String>>) -> Self {
+        let header = header.into_iter().map(|name| name.into().to_uppercase());
         Self {
-            head: head.collect(),
+            header: header.collect(),
             rows: Vec::new(),
         }
     }
 
-    /// The same table with one more row.
+    /// Adds a row and returns the table.
     #[must_use]
     pub fn with_row(mut self, row: impl IntoIterator<Item = impl Into<String>>) -> Self {
         self.push(row);
@@ -52,13 +52,13 @@
     }
 
     fn lines(&self) -> impl Iterator<Item = &Vec<String>> {
-        std::iter::once(&self.head).chain(&self.rows)
+        std::iter::once(&self.header).chain(&self.rows)
     }
 }
 
 impl fmt::Display for Table {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let widths: Vec<usize> = (0..self.head.len())
+        let widths: Vec<usize> = (0..self.header.len())
             .map(|column| self.width(column))
             .collect();
         for row in self.lines() {
--- a/crates/cassiarock-operator/src/why/cause.rs
+++ b/crates/cassiarock-operator/src/why/cause.rs
@@ -1,32 +1,34 @@
-//! Which decision settled a request, and which input decided it.
+//! The decision that determined the outcome of a request, with its inputs.
 
 use super::LogLine;
 
-/// The last line that settles a request, told with what led to it.
+/// Describes the last line that gives the outcome of the request, the events before it and
+/// the last disruption of a process nearby.
 pub(super) fn cause(lines: &[LogLine], is_about: impl Fn(&LogLine) -> bool) -> String {
     let about: Vec<&LogLine> = lines.iter().filter(|line| is_about(line)).collect();
-    let Some(settled) = about.iter().rev().find(|line| settles(line)) else {
-        return unsettled(&about);
+    let Some(outcome) = about.iter().rev().find(|line| is_outcome(line)) else {
+        return missing_outcome(&about);
     };
-    let told = sentence(settled);
-    let before = led_to(settled, &about);
-    let near = lines
+    let description = describe_outcome(outcome);
+    let preceding = preceding_events(outcome, &about);
+    let disruption = lines
         .iter()
         .rev()
-        .find(|line| !is_about(line) && hurts(line));
-    let near = near.map(|line| format!("; meanwhile {line}"));
-    format!("{told}{before}{}", near.unwrap_or_default())
+        .find(|line| !is_about(line) && is_disruption(line));
+    let disruption = disruption.map(|line| format!("; meanwhile {line}"));
+    format!("{description}{preceding}{}", disruption.unwrap_or_default())
 }
 
-/// Lines that end a request's way through an entry.
-fn settles(line: &LogLine) -> bool {
-    const ENDS: [&str; 5] = ["completed", "failed", "refused", "impossible", "abandoned"];
+/// Returns whether the line gives the outcome of a request at an entry.
+fn is_outcome(line: &LogLine) -> bool {
+    const OUTCOMES: [&str; 5] = ["completed", "failed", "refused", "impossible", "abandoned"];
     let malformed = line.what.starts_with("malformed") || line.what.starts_with("refused:");
-    malformed || line.what == "no such queue" || ENDS.contains(&line.what.as_str())
+    malformed || line.what == "no such queue" || OUTCOMES.contains(&line.what.as_str())
 }
 
-/// What a process lost or met that may have hurt the requests it had.
-fn hurts(line: &LogLine) -> bool {
+/// Returns whether the line is about a disruption of a process that may have affected its
+/// requests.
+fn is_disruption(line: &LogLine) -> bool {
     let kinds = [
         "lost",
         "link lost",
@@ -38,56 +40,56 @@
     kinds.iter().any(|kind| line.what.starts_with(kind))
 }
 
-fn sentence(line: &LogLine) -> String {
-    let of = |name: &str| line.field(name).unwrap_or_else(|| "?".to_owned());
+fn describe_outcome(line: &LogLine) -> String {
+    let value = |name: &str| line.field(name).unwrap_or_else(|| "?".to_owned());
     let process = &line.process;
     match line.what.as_str() {
         "completed" => format!(
             "completed at {process} after {} ms with {} retries; on time: {}",
-            of("age_ms"),
-            of("retries"),
-            of("on_time")
+            value("age_ms"),
+            value("retries"),
+            value("on_time")
         ),
         "failed" => format!(
             "given up at {process} after {} ms: {}{}; {} of {} tasks not done",
-            of("age_ms"),
-            of("reason"),
-            crashed(line),
-            of("not_done"),
-            of("tasks")
+            value("age_ms"),
+            value("reason"),
+            crashed_upstreams(line),
+            value("not_done"),
+            value("tasks")
         ),
         "refused" => format!(
             "refused at {process} after {} ms: {} (predicted wait {} ms, {} jobs in the queue, \
              {} thousandths of a core free, configuration {})",
-            of("age_ms"),
-            of("reason"),
-            of("wait_ms"),
-            of("queue"),
-            of("free_cpu"),
-            of("version")
+            value("age_ms"),
+            value("reason"),
+            value("wait_ms"),
+            value("queue"),
+            value("free_cpu"),
+            value("version")
         ),
         "impossible" => format!(
             "failed at once at {process}: no upstream has {} thousandths of a core and {} MiB",
-            of("cpu"),
-            of("memory")
+            value("cpu"),
+            value("memory")
         ),
         "abandoned" => format!(
             "abandoned at {process} after {} ms: {}",
-            of("age_ms"),
-            of("reason")
+            value("age_ms"),
+            value("reason")
         ),
         "no such queue" => format!(
             "answered 404 at {process}: configuration {} has no queue for {}{}",
-            of("version"),
-            of("host"),
-            of("path")
+            value("version"),
+            value("host"),
+            value("path")
         ),
         other => format!("{other} at {process}"),
     }
 }
 
-/// The upstreams that one of its tasks has crashed.
-fn crashed(line: &LogLine) -> String {
+/// Names the upstreams that crashed while they ran a task of the request.
+fn crashed_upstreams(line: &LogLine) -> String {
     let crashed = line.field("crashed").unwrap_or_default();
     if crashed.is_empty() {
         return crashed;
@@ -98,27 +100,27 @@
     )
 }
 
-/// What happened to its tasks before, by kind: ends, moves, losses.
-fn led_to(settled: &LogLine, about: &[&LogLine]) -> String {
-    let mut told = Vec::new();
+/// Lists what happened to the tasks of the request: ends, moves and lost upstreams.
+fn preceding_events(outcome: &LogLine, about: &[&LogLine]) -> String {
+    let mut events = Vec::new();
     for line in about {
         let agent = line.field("agent").unwrap_or_else(|| line.process.clone());
         match line.what.as_str() {
-            "ended" => told.push(format!(
+            "ended" => events.push(format!(
                 "a task ended as {} at {} after {} ms (expected {} ms)",
                 line.field("end").unwrap_or_default(),
                 line.process,
                 line.field("ran_ms").unwrap_or_default(),
                 line.field("expected_ms").unwrap_or_default()
             )),
-            "upstream lost" => told.push(format!(
+            "upstream lost" => events.push(format!(
                 "the upstream of {agent} was lost with a task after {} ms (crashes under it: {}; \
                  others lost with it: {})",
                 line.field("ran_ms").unwrap_or_default(),
                 line.field("crashes").unwrap_or_default(),
                 line.field("lost_together").unwrap_or_default()
             )),
-            "moved" | "placing again" => told.push(format!(
+            "moved" | "placing again" => events.push(format!(
                 "{} from {agent}: {}",
                 line.what,
                 line.field("reason").unwrap_or_default()
@@ -126,17 +128,18 @@
             _ => {}
         }
     }
-    if told.is_empty() || settled.what == "completed" && told.len() > MOST {
+    if events.is_empty() || outcome.what == "completed" && events.len() > MAX_EVENTS {
         return String::new();
     }
-    told.truncate(MOST);
-    format!("; before: {}", told.join("; "))
+    events.truncate(MAX_EVENTS);
+    format!("; before: {}", events.join("; "))
 }
 
-/// Events named in a cause.
-const MOST: usize = 4;
+/// Limit of preceding events that a cause lists.
+const MAX_EVENTS: usize = 4;
 
-fn unsettled(about: &[&LogLine]) -> String {
+/// Describes a request without an outcome by the last line about it.
+fn missing_outcome(about: &[&LogLine]) -> String {
     let Some(last) = about.last() else {
         return "nothing is known".to_owned();
     };
--- a/crates/cassiarock-operator/src/why/line.rs
+++ b/crates/cassiarock-operator/src/why/line.rs
@@ -1,49 +1,49 @@
-//! One line of a log.
+//! Parsing of log lines.
 
 use serde::Serialize;
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// Fields that stand apart from the inputs of a decision.
-const HEAD: [&str; 6] = ["at", "level", "process", "what", "request", "job"];
+/// Fields that are parsed into members of their own.
+const HEADER_FIELDS: [&str; 6] = ["at", "level", "process", "what", "request", "job"];
 
-/// A structured line. Whatever stands before it on its line in the file, as a collector's
-/// time and host, names the process if the line itself does not.
+/// A structured log line. If it names no process, the last word before the JSON object does:
+/// log collectors put time and host there.
 #[derive(Clone, Debug, Serialize)]
 pub struct LogLine {
-    /// When, as the process's clock said.
+    /// The time, by the clock of the process.
     pub at: String,
-    /// The process.
+    /// The name of the process that logged the line.
     pub process: String,
-    /// What was decided or happened.
+    /// The kind of the decision or event.
     pub what: String,
     /// The caller's id of the request, if the line is about one.
     pub request: String,
     /// The job's id, if the line is about one.
     pub job: String,
-    /// The inputs and the outcome.
+    /// All other fields: the inputs and the outcome of the decision.
     pub fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// A line of a log; none if it is no structured one.
+    /// Parses a log line; `None` if it is not a structured one.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let begin = text.find('{')?;
         let mut fields: Map<String, Value> = serde_json::from_str(&text[begin..]).ok()?;
-        let take = |name: &str| match fields.get(name) {
+        let text_of = |name: &str| match fields.get(name) {
             Some(Value::String(value)) => value.clone(),
             _ => String::new(),
         };
         let mut line = Self {
-            at: take("at"),
-            process: take("process"),
-            what: take("what"),
-            request: take("request"),
-            job: take("job"),
+            at: text_of("at"),
+            process: text_of("process"),
+            what: text_of("what"),
+            request: text_of("request"),
+            job: text_of("job"),
             fields: Map::new(),
         };
-        fields.retain(|name, _| !HEAD.contains(&name.as_str()));
+        fields.retain(|name, _| !HEADER_FIELDS.contains(&name.as_str()));
         line.fields = fields;
         if line.process.is_empty() {
             let before = text[..begin].split_whitespace().last();
@@ -52,7 +52,7 @@
         (!line.what.is_empty()).then_some(line)
     }
 
-    /// A field as text.
+    /// Returns a field as text.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<String> {
         match self.fields.get(name)? {
@@ -61,8 +61,8 @@
         }
     }
 
-    /// The processes that the line names in its fields, without their incarnations.
-    pub(super) fn named(&self) -> Vec<String> {
+    /// Returns the names of the processes in the fields of the line, without incarnations.
+    pub(super) fn named_processes(&self) -> Vec<String> {
         let places = self.field("places").unwrap_or_default();
         let agent = self.field("agent").unwrap_or_default();
         let named = places.split(',').chain(std::iter::once(agent.as_str()));
--- a/crates/cassiarock-operator/src/why/mod.rs
+++ b/crates/cassiarock-operator/src/why/mod.rs
@@ -1,4 +1,4 @@
-//! The trace of one request, from the log lines of all processes.
+//! The trace of one request, collected from the log lines of all processes.
 
 mod cause;
 mod line;
@@ -10,20 +10,20 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// What happened to a request, in order.
+/// The log lines about a request in order of time, with the cause of its outcome.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestTrace {
-    /// The id that was asked for.
+    /// The id of the request or job that was searched for.
     pub id: String,
-    /// The lines about the request and its job, and what the processes that had it lost,
-    /// regained or changed meanwhile.
+    /// The lines about the request and its job, and the lines about no request that the
+    /// processes involved logged meanwhile.
     pub lines: Vec<LogLine>,
-    /// The decision that settled the outcome, and the input that decided it.
+    /// The decision that determined the outcome, with its inputs.
     pub cause: String,
 }
 
 impl RequestTrace {
-    /// The trace of the request or job `id`; none if no line is about it.
+    /// Collects the trace of the request or job `id`; `None` if no line is about it.
     ///
     /// ```
     /// use cassiarock_operator::RequestTrace;
@@ -36,10 +36,10 @@
     pub fn new<'a>(id: &str, text: impl Iterator<Item = &'a str>) -> Option<Self> {
         let mut all: Vec<LogLine> = text.filter_map(LogLine::parse).collect();
         all.sort_by(|a, b| a.at.cmp(&b.at));
-        let own = |line: &&LogLine| line.request == id || line.job == id;
+        let has_id = |line: &&LogLine| line.request == id || line.job == id;
         let jobs: BTreeSet<String> = all
             .iter()
-            .filter(own)
+            .filter(has_id)
             .map(|line| line.job.clone())
             .filter(|job| !job.is_empty())
             .collect();
@@ -48,7 +48,10 @@
         let about: Vec<&LogLine> = all.iter().filter(|line| is_about(line)).collect();
         let (first, last) = (about.first()?.at.clone(), about.last()?.at.clone());
         let processes: BTreeSet<String> = about.iter().map(|line| line.process.clone()).collect();
-        let named: BTreeSet<String> = about.iter().flat_map(|line| line.named()).collect();
+        let named: BTreeSet<String> = about
+            .iter()
+            .flat_map(|line| line.named_processes())
+            .collect();
         let is_near = |line: &LogLine| {
             line.job.is_empty()
                 && line.request.is_empty()
--- a/src/bin/cassiarockd/command.rs
+++ b/src/bin/cassiarockd/command.rs
@@ -3,12 +3,12 @@
 use bpaf::{Doc, OptionParser, Parser, construct, long};
 use std::path::{Path, PathBuf};
 
-/// Which process to run.
+/// The kind of process to run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-    /// Takes jobs in from callers and places their tasks.
+    /// Accepts jobs from callers and places their tasks.
     Entry,
-    /// Guards one upstream.
+    /// Controls one upstream.
     Agent,
 }
 
@@ -17,7 +17,7 @@
 pub struct Command {
     /// Which process to run.
     pub role: Role,
-    /// Whether to check the settings and end.
+    /// Whether to check the settings and exit.
     pub check: bool,
     /// The settings file.
     pub source: Source,
@@ -26,17 +26,17 @@
 /// Where the settings come from.
 #[derive(Clone, Debug)]
 pub enum Source {
-    /// A file of our own: JSON with comments.
-    Own(PathBuf),
+    /// A file of this project: JSON with comments.
+    Native(PathBuf),
     /// The file that the users' platform writes for each process, in its own format.
     Platform(PathBuf),
 }
 
 impl Source {
-    /// The file.
+    /// Returns the path of the file.
     pub fn file(&self) -> &Path {
         match self {
-            Self::Own(file) | Self::Platform(file) => file,
+            Self::Native(file) | Self::Platform(file) => file,
         }
     }
 }
@@ -46,7 +46,7 @@
     let entry = role(
         Role::Entry,
         "entry",
-        "Run an entry: it takes jobs in from callers and places their tasks",
+        "Run an entry: it accepts jobs from callers and places their tasks",
         &[
             "cassiarockd entry --settings settings/andes/entry.jsonc",
             "cassiarockd entry --settings settings/andes/entry.jsonc --check",
@@ -56,7 +56,7 @@
     let agent = role(
         Role::Agent,
         "agent",
-        "Run an agent: it guards the one upstream beside it",
+        "Run an agent: it controls the one upstream beside it",
         &[
             "cassiarockd agent --settings settings/andes/agent.jsonc",
             "cassiarockd agent --settings settings/iceland/agent.jsonc --check",
@@ -70,7 +70,7 @@
             "SIGTERM drains: nothing new is taken, what is in flight is finished. A second \
              SIGTERM, or the setting drain_limit, ends it at once and says what was cut.",
         )
-        .footer(footer(&[
+        .footer(example_list(&[
             "cassiarockd entry --settings settings/andes/entry.jsonc",
             "cassiarockd agent --settings settings/andes/agent.jsonc",
         ]))
@@ -87,13 +87,13 @@
         .short('s')
         .help("Settings file, JSON with comments")
         .argument::<PathBuf>("FILE")
-        .map(Source::Own);
+        .map(Source::Native);
     let platform = long("platform")
         .help("Settings file of the users' platform, in the platform's format")
         .argument::<PathBuf>("FILE")
         .map(Source::Platform);
     let source = construct!([settings, platform]);
-    let check = long("check").help("Check the settings and end").switch();
+    let check = long("check").help("Check the settings and exit").switch();
     let role = bpaf::pure(role);
     construct!(Command {
         role,
@@ -102,12 +102,12 @@
     })
     .to_options()
     .descr(about)
-    .footer(footer(examples))
+    .footer(example_list(examples))
     .command(name)
     .help(about)
 }
 
-fn footer(examples: &[&str]) -> Doc {
+fn example_list(examples: &[&str]) -> Doc {
     let mut doc = Doc::default();
     doc.text("Examples:");
     for example in examples {
--- a/src/bin/cassiarockd/main.rs
+++ b/src/bin/cassiarockd/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: an entry or an agent, by its first argument.
+//! The daemon: runs an entry or an agent, as the first argument says.
 
 mod command;
 mod logging;
--- a/src/bin/cassiarockd/signal.rs
+++ b/src/bin/cassiarockd/signal.rs
@@ -1,12 +1,12 @@
-//! From signals to shutdown stages.
+//! Translation of signals to shutdown stages.
 
 use cassiarock_process::Stage;
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
-/// The signals that end the process, caught from its start on: one that comes before the
-/// process serves would otherwise kill it without a word.
+/// The signals that end the process. They are caught from its start, since one that arrives
+/// before the process serves would otherwise kill it without a log line.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -14,7 +14,7 @@
 }
 
 impl Signals {
-    /// Begins to catch them.
+    /// Installs the signal handlers.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -22,15 +22,15 @@
         })
     }
 
-    /// The first signal asks to drain, the second to stop.
-    pub async fn ask(mut self, stage: watch::Sender<Stage>) {
+    /// Requests a drain at the first signal and a stop at the second.
+    pub async fn forward(mut self, stage: watch::Sender<Stage>) {
         self.next().await;
         log::info!("signal: drain");
         stage.send_replace(Stage::Drain);
         self.next().await;
         log::warn!("second signal: stop");
         stage.send_replace(Stage::Stop);
-        // The sender stays: without it the process would take the last stage as unknown.
+        // Keeps the sender alive: the process takes a dropped sender as the end of the program.
         std::future::pending::<()>().await;
     }
 
