--- a/crates/cassiarock-operator/tests/command.rs
+++ b/crates/cassiarock-operator/tests/command.rs
@@ -1,10 +1,10 @@
-//! The command line: help, examples, parsing.
+//! Tests of the command line: help, examples, parsing.
 
 use bpaf::ParseFailure;
 use cassiarock_operator::{Action, Command, Rules};
 use yare::parameterized;
 
-/// The help of the subcommand at `path`.
+/// Returns the help of the subcommand at `path`.
 fn help(path: &[&str]) -> String {
     let arguments = [path, &["--help"]].concat();
     match Command::parse(&arguments) {
@@ -13,7 +13,7 @@
     }
 }
 
-/// The lines under `Examples:`, without the program's name.
+/// Returns the lines under `Examples:`, without the program's name.
 fn examples(help: &str) -> Vec<Vec<&str>> {
     help.lines()
         .skip_while(|line| !line.contains("Examples:"))
@@ -22,7 +22,7 @@
         .collect()
 }
 
-/// The subcommands listed in a help text.
+/// Returns the subcommands that a help text lists.
 fn subcommands(help: &str) -> Vec<&str> {
     help.lines()
         .skip_while(|line| !line.starts_with("Available commands"))
@@ -34,9 +34,9 @@
 
 #[test]
 fn every_subcommand_shows_examples_that_parse() {
-    let mut left: Vec<Vec<String>> = vec![Vec::new()];
+    let mut pending: Vec<Vec<String>> = vec![Vec::new()];
     let mut leaves = 0;
-    while let Some(path) = left.pop() {
+    while let Some(path) = pending.pop() {
         let words: Vec<&str> = path.iter().map(String::as_str).collect();
         let help = help(&words);
         let examples = examples(&help);
@@ -44,17 +44,17 @@
         for example in examples {
             assert!(
                 example.starts_with(&words),
-                "{example:?} is not of {path:?}"
+                "{example:?} is not an example of {path:?}"
             );
             assert!(
                 Command::parse(&example).is_ok(),
                 "{example:?} does not parse"
             );
         }
-        let deeper = subcommands(&help);
-        leaves += usize::from(deeper.is_empty());
-        left.extend(
-            deeper
+        let children = subcommands(&help);
+        leaves += usize::from(children.is_empty());
+        pending.extend(
+            children
                 .iter()
                 .map(|name| [path.clone(), vec![(*name).to_owned()]].concat()),
         );
@@ -71,7 +71,7 @@
     unknown_option = { &["status", "--jsn"] },
     unknown_role = { &["settings", "check", "--role", "keeper", "a.jsonc"] },
 )]
-fn a_wrong_command_line_is_turned_away(arguments: &[&str]) {
+fn an_invalid_command_line_is_rejected(arguments: &[&str]) {
     assert!(matches!(
         Command::parse(arguments),
         Err(ParseFailure::Stderr(_))
--- a/crates/cassiarock-operator/tests/rules.rs
+++ b/crates/cassiarock-operator/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Publishing through the log stand-in.
+//! Tests of publishing to a fake log.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use axum::routing::get;
@@ -16,23 +16,24 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-const NOWHERE: &str = "http://127.0.0.1:1";
+const UNREACHABLE_URL: &str = "http://127.0.0.1:1";
 
-/// A log with the pools of the example rules at version 1, and its client.
+/// Starts a log with the pools of the example rules at version 1, and returns it with its
+/// client.
 async fn platform() -> (Stand, Client) {
-    let stand = Stand::start().await.unwrap();
-    let client = client(&stand);
+    let log = Stand::start().await.unwrap();
+    let client = client(&log);
     let set = Action::Config(Config::Set {
         wait: false,
         based_on: None,
         file: example("config.jsonc"),
     });
     execute(&client, &set).await.unwrap();
-    (stand, client)
+    (log, client)
 }
 
-fn client(stand: &Stand) -> Client {
-    let mut client = Client::new("ana", stand.url()).with_entries([NOWHERE]);
+fn client(log: &Stand) -> Client {
+    let mut client = Client::new("ana", log.url()).with_entries([UNREACHABLE_URL]);
     client.timeout = Duration::from_millis(500);
     client.wait = Duration::from_secs(2);
     client
@@ -52,7 +53,7 @@
     })
 }
 
-fn shift(rule: &str, to: usize) -> Action {
+fn move_rule(rule: &str, to: usize) -> Action {
     Action::Rules(Rules::Move {
         wait: false,
         to,
@@ -73,8 +74,8 @@
     outcome.map_or_else(|error| error.exit(), |report| report.exit)
 }
 
-/// Serves a status at which the log has been read up to `next`.
-async fn process(next: u64) -> SocketAddr {
+/// Serves the status of a process that has read the log up to `next`.
+async fn serve_status(next: u64) -> SocketAddr {
     let mut status = Status::new(Process::new("late", 1), "entry", "andes-1");
     status.next = next;
     let router = Router::new().route("/status", get(move || async move { Json(status) }));
@@ -86,9 +87,9 @@
 
 #[tokio::test]
 async fn published_rules_are_moved_and_deleted() {
-    let (_stand, client) = platform().await;
+    let (_log, client) = platform().await;
     execute(&client, &publish(None, false)).await.unwrap();
-    execute(&client, &shift("dawn-rush", 1)).await.unwrap();
+    execute(&client, &move_rule("dawn-rush", 1)).await.unwrap();
     let delete = Action::Rules(Rules::Delete {
         wait: false,
         rule: "payments".into(),
@@ -102,7 +103,7 @@
 
 #[tokio::test]
 async fn a_rule_goes_last_unless_a_place_is_given() {
-    let (_stand, client) = platform().await;
+    let (_log, client) = platform().await;
     let file = std::env::temp_dir().join(format!("rule-{}.jsonc", std::process::id()));
     let insert = |at| {
         Action::Rules(Rules::Insert {
@@ -128,13 +129,13 @@
     std::fs::remove_file(&file).unwrap();
 }
 
-// Two operators edit the rules from the same version. The second to publish would undo the
-// first one's change without having seen it; it must be told, and nothing may change.
+// Two operators edit the rules from the same version. Without a conflict the second publish
+// would overwrite the change of the first unseen.
 #[tokio::test]
-async fn the_second_of_two_racing_operators_gets_a_conflict() {
-    let (_stand, client) = platform().await;
+async fn the_second_of_two_concurrent_publishes_gets_a_conflict() {
+    let (_log, client) = platform().await;
     execute(&client, &publish(Some(1), false)).await.unwrap();
-    execute(&client, &shift("dawn-rush", 1)).await.unwrap();
+    execute(&client, &move_rule("dawn-rush", 1)).await.unwrap();
     let before = order(&client).await;
     let late = execute(&client, &publish(Some(1), false))
         .await
@@ -147,12 +148,12 @@
     assert_eq!(order(&client).await, before);
 }
 
-// The log takes the record, and its answer is lost. A client that reported a failure would
-// make the operator publish again, and the second copy would be a second change.
+// The log accepts the record, but its response is lost. A client that reported a failure
+// would lead the operator to publish a second time, which would be a second change.
 #[tokio::test]
-async fn a_lost_answer_of_the_log_is_settled() {
-    let (stand, client) = platform().await;
-    stand.with_fault(|fault| fault.lost_answers = 1);
+async fn a_publish_succeeds_when_the_response_of_the_log_is_lost() {
+    let (log, client) = platform().await;
+    log.with_fault(|fault| fault.lost_answers = 1);
     assert_eq!(
         exit(execute(&client, &publish(None, false)).await),
         Exit::Done
@@ -161,41 +162,43 @@
 }
 
 #[tokio::test]
-async fn a_log_that_is_down_is_told_apart_from_a_refusal() {
-    let (stand, client) = platform().await;
-    stand.with_fault(|fault| fault.down = true);
+async fn a_log_that_is_down_is_reported_as_unreachable_not_as_a_refusal() {
+    let (log, client) = platform().await;
+    log.with_fault(|fault| fault.down = true);
     assert_eq!(
         exit(execute(&client, &publish(None, false)).await),
         Exit::Unreachable
     );
-    assert_eq!(stand.end(), 1);
+    assert_eq!(log.end(), 1);
 }
 
-// The platform drops old records while no process is left to append a snapshot. Nobody can
-// know the state any more, and no change can be based on one: only a restore helps.
+// The platform drops old records while no process is left to append a snapshot. The state
+// cannot be rebuilt and no change can be based on it; only a restore helps.
 #[tokio::test]
-async fn a_log_that_was_cut_is_restored() {
-    let (stand, client) = platform().await;
+async fn a_truncated_log_is_restored() {
+    let (log, client) = platform().await;
     let restore = Action::Restore(Restore {
         rules: example("rules.jsonc"),
         config: example("config.jsonc"),
     });
     assert_eq!(exit(execute(&client, &restore).await), Exit::Refused);
     execute(&client, &publish(None, false)).await.unwrap();
-    stand.cut(stand.end());
+    log.cut(log.end());
     assert_eq!(
-        exit(execute(&client, &shift("dawn-rush", 1)).await),
+        exit(execute(&client, &move_rule("dawn-rush", 1)).await),
         Exit::Unreachable
     );
     execute(&client, &restore).await.unwrap();
-    execute(&client, &shift("dawn-rush", 1)).await.unwrap();
+    execute(&client, &move_rule("dawn-rush", 1)).await.unwrap();
     assert_eq!(order(&client).await[0], "dawn-rush");
 }
 
 #[tokio::test]
-async fn what_does_not_exist_is_named() {
-    let (_stand, client) = platform().await;
-    let error = execute(&client, &shift("payments", 1)).await.unwrap_err();
+async fn a_missing_rule_or_agent_is_named() {
+    let (_log, client) = platform().await;
+    let error = execute(&client, &move_rule("payments", 1))
+        .await
+        .unwrap_err();
     assert_eq!(error.exit(), Exit::NotFound);
     assert!(error.to_string().contains("rule `payments`"), "{error}");
     let drain = Drain {
@@ -208,13 +211,13 @@
     assert_eq!(error.exit(), Exit::NotFound);
 }
 
-// An entry does not read the log. The operator who waits for the change must learn which
-// process still works by the old rules.
+// One entry does not read the log. The operator who waits for the change must learn which
+// process still applies the old rules.
 #[tokio::test]
-async fn waiting_names_the_processes_that_lag() {
-    let (_stand, client) = platform().await;
-    let late = process(0).await;
-    let ready = process(u64::MAX).await;
+async fn waiting_lists_the_processes_that_lag() {
+    let (_log, client) = platform().await;
+    let late = serve_status(0).await;
+    let ready = serve_status(u64::MAX).await;
     let client = client.with_status([format!("http://{late}"), format!("http://{ready}")]);
     let report = execute(&client, &publish(None, true)).await.unwrap();
     assert_eq!(report.exit, Exit::Pending);
@@ -224,27 +227,27 @@
 
 #[tokio::test]
 async fn waiting_ends_when_every_entry_and_agent_has_the_version() {
-    let (stand, client) = platform().await;
-    let member = Member::new(Process::new("agent-1", 1), process(0).await)
-        .with_status(process(u64::MAX).await);
+    let (log, client) = platform().await;
+    let member = Member::new(Process::new("agent-1", 1), serve_status(0).await)
+        .with_status(serve_status(u64::MAX).await);
     let joined = Record::new(Wall::now(), "agent-1", Body::Joined { member });
-    stand.append(joined.encode().unwrap());
-    let client = client.with_status([format!("http://{}", process(u64::MAX).await)]);
+    log.append(joined.encode().unwrap());
+    let client = client.with_status([format!("http://{}", serve_status(u64::MAX).await)]);
     let report = execute(&client, &publish(None, true)).await.unwrap();
     assert_eq!(report.exit, Exit::Done, "{}", report.text);
     assert_eq!(report.json["processes"], 2);
 }
 
-// A rule below one that matches everything can never decide. Published, it would look as if
-// it were in force.
+// A rule below one that matches everything can never apply. If it were published, it would
+// appear to be in force.
 #[tokio::test]
-async fn rules_that_cannot_be_right_are_refused_before_they_are_published() {
-    let (stand, client) = platform().await;
+async fn invalid_rules_are_refused_before_they_are_published() {
+    let (log, client) = platform().await;
     execute(&client, &publish(None, false)).await.unwrap();
-    let end = stand.end();
+    let end = log.end();
     assert_eq!(
-        exit(execute(&client, &shift("rest", 1)).await),
+        exit(execute(&client, &move_rule("rest", 1)).await),
         Exit::Refused
     );
-    assert_eq!(stand.end(), end);
+    assert_eq!(log.end(), end);
 }
--- a/crates/cassiarock-operator/tests/simulate.rs
+++ b/crates/cassiarock-operator/tests/simulate.rs
@@ -1,4 +1,4 @@
-//! Simulations from the command line.
+//! Tests of `cassiarock simulate`.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,7 +10,7 @@
 );
 
 #[tokio::test]
-async fn a_scenario_is_played_with_its_mechanisms_left_out_in_turn() {
+async fn a_scenario_is_simulated_with_each_mechanism_disabled_in_turn() {
     let command = Command::parse(&["simulate", "--ablate", SMALL]).unwrap();
     let report = run(&command).await.unwrap();
     assert_eq!(report.exit, Exit::Done);
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn a_mechanism_that_is_not_there_is_told_and_nothing_is_played() {
+async fn an_unknown_mechanism_is_an_input_error() {
     let command = Command::parse(&["simulate", "--without", "luck", SMALL]).unwrap();
     let error = run(&command).await.unwrap_err();
     assert_eq!(error.exit(), Exit::Usage);
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn a_file_that_is_not_there_is_a_wrong_input() {
+async fn a_missing_scenario_file_is_an_input_error() {
     let command = Command::parse(&["simulate", "no/such/scenario.jsonc"]).unwrap();
     assert_eq!(run(&command).await.unwrap_err().exit(), Exit::Usage);
 }
--- a/crates/cassiarock-operator/tests/status.rs
+++ b/crates/cassiarock-operator/tests/status.rs
@@ -1,4 +1,4 @@
-//! Looking at the system while parts of it are out.
+//! Tests of `status` and `explain` while parts of the system are down.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-const NOWHERE: &str = "http://127.0.0.1:1";
+const UNREACHABLE_URL: &str = "http://127.0.0.1:1";
 
 async fn serve(router: Router) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -26,13 +26,14 @@
     Command::parse(&words).unwrap().action
 }
 
-// The log is down, which is when an operator looks. The agents cannot be listed then, but
-// the entries still answer, and their state must be shown.
+// While the log is down the agents cannot be listed, but the entries still answer and their
+// state must be shown.
 #[tokio::test]
-async fn an_outage_of_the_log_hides_no_entry() {
+async fn entries_are_shown_while_the_log_is_down() {
     let status = Status::new(Process::new("entry-1", 1), "entry", "andes-1");
     let entry = serve(Router::new().route("/status", get(|| async { Json(status) }))).await;
-    let client = Client::new("ana", NOWHERE).with_status([NOWHERE.to_owned(), entry]);
+    let client =
+        Client::new("ana", UNREACHABLE_URL).with_status([UNREACHABLE_URL.to_owned(), entry]);
     let report = execute(&client, &Action::Status).await.unwrap();
     assert_eq!(report.exit, Exit::Unreachable);
     let row = report.text.lines().find(|line| line.starts_with("entry-1"));
@@ -47,9 +48,10 @@
     );
 }
 
-// An operator emptied a data centre before work on its power, and could not see when it was empty.
+// An operator evacuated a data centre before work on its power supply, and could not see when
+// it was empty.
 #[tokio::test]
-async fn a_data_centre_that_is_emptied_is_shown_with_the_tasks_that_all_entries_have_there() {
+async fn an_evacuated_data_centre_is_shown_with_the_tasks_of_all_entries_there() {
     let mut entries = Vec::new();
     for tasks in [3, 4] {
         let name = format!("entry-{tasks}");
@@ -62,7 +64,7 @@
         let router = Router::new().route("/status", get(|| async { Json(status) }));
         entries.push(serve(router).await);
     }
-    let client = Client::new("ana", NOWHERE).with_status(entries);
+    let client = Client::new("ana", UNREACHABLE_URL).with_status(entries);
     let report = execute(&client, &Action::Status).await.unwrap();
     let row = report.text.lines().find(|line| line.starts_with("andes-2"));
     assert!(row.unwrap().ends_with(" 7"), "{}", report.text);
@@ -75,7 +77,8 @@
         Json(Explanation::new(7, &RuleSet::default(), &request))
     };
     let entry = serve(Router::new().route("/explain", post(answer))).await;
-    let client = Client::new("ana", NOWHERE).with_status([NOWHERE.to_owned(), entry]);
+    let client =
+        Client::new("ana", UNREACHABLE_URL).with_status([UNREACHABLE_URL.to_owned(), entry]);
     let explain = action("explain --kind seat-check --team desk");
     let report = execute(&client, &explain).await.unwrap();
     assert!(report.text.starts_with("version 7"), "{}", report.text);
--- a/crates/cassiarock-operator/tests/submit.rs
+++ b/crates/cassiarock-operator/tests/submit.rs
@@ -1,4 +1,4 @@
-//! Submitting and cancelling against small stand-ins of entries.
+//! Tests of `submit` and `cancel` against fake entries.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use axum::body::Bytes;
@@ -23,10 +23,10 @@
     client
 }
 
-/// Writes a job with a short deadline; removed with the guard.
-struct File(PathBuf);
+/// A temporary file with a job, deleted on drop.
+struct JobFile(PathBuf);
 
-impl File {
+impl JobFile {
     fn new(name: &str, job: &Value) -> Self {
         let path = std::env::temp_dir().join(format!("{name}-{}.jsonc", std::process::id()));
         std::fs::write(&path, job.to_string()).unwrap();
@@ -41,7 +41,7 @@
     }
 }
 
-impl Drop for File {
+impl Drop for JobFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -58,14 +58,14 @@
     format!("http://{address}")
 }
 
-/// An entry that answers every submission so.
+/// Starts an entry that answers every submission with `status` and `body`.
 async fn entry(status: u16, body: Value) -> String {
     let answer = move || async move { (StatusCode::from_u16(status).unwrap(), Json(body)) };
     serve(Router::new().route("/v1/jobs", post(answer))).await
 }
 
-/// An entry that takes a connection's request in and dies.
-async fn dying() -> String {
+/// Starts an entry that reads each request and closes the connection without a response.
+async fn crashing_entry() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -77,7 +77,7 @@
     format!("http://{address}")
 }
 
-async fn nowhere() -> String {
+async fn unreachable_entry() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     format!("http://{}", listener.local_addr().unwrap())
 }
@@ -94,58 +94,66 @@
     conflict = { 409, json!({ "outcome": "conflict", "reason": "other content" }), Exit::Conflict },
     unknown = { 404, json!({ "outcome": "unknown", "reason": "too old" }), Exit::NotFound },
     invalid = { 422, json!({ "outcome": "invalid", "field": "team", "reason": "empty" }), Exit::Usage },
-    no_answer = { 200, json!({ "hello": "stranger" }), Exit::Failed },
+    invalid_response = { 200, json!({ "hello": "stranger" }), Exit::Failed },
 )]
 fn each_outcome_has_its_exit_code(status: u16, body: Value, expected: Exit) {
-    let file = File::new(&format!("outcome-{status}-{expected:?}"), &job());
+    let file = JobFile::new(&format!("outcome-{status}-{expected:?}"), &job());
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let outcome = runtime
         .block_on(async { execute(&client([entry(status, body).await]), &file.submit()).await });
     assert_eq!(exit(outcome), expected);
 }
 
-// The entry takes the job in and dies before it answers. The operator must get the job's
-// answer all the same: the same job goes, under the same id, to the next entry.
+// The entry accepts the job and crashes before it answers. The operator still gets the
+// answer, because the client submits the job to the next entry under the same id.
 #[tokio::test]
-async fn a_job_whose_entry_dies_is_submitted_to_the_next_under_its_id() {
-    let file = File::new("dying", &job());
+async fn a_job_whose_entry_crashes_is_submitted_to_the_next_under_its_id() {
+    let file = JobFile::new("dying", &job());
     let seen = Arc::new(Mutex::new(Vec::new()));
-    let store = Arc::clone(&seen);
+    let received = Arc::clone(&seen);
     let answer = move |body: Bytes| async move {
-        store
+        received
             .lock()
             .unwrap()
             .push(serde_json::from_slice::<Value>(&body).unwrap());
         Json(json!({ "outcome": "complete", "results": [] }))
     };
     let next = serve(Router::new().route("/v1/jobs", post(answer))).await;
-    let outcome = execute(&client([dying().await, next]), &file.submit()).await;
+    let outcome = execute(&client([crashing_entry().await, next]), &file.submit()).await;
     assert_eq!(exit(outcome), Exit::Done);
     assert_eq!(*seen.lock().unwrap(), [job()]);
 }
 
-// Every entry that took the job in died. Nobody knows whether it ran, so a client that said
-// "unreachable, nothing was done" would invite a second payment.
+// Every entry that accepted the job crashed, so it is unknown whether it ran. If the client
+// reported "unreachable, nothing was done", the operator would submit it again, and a payment
+// would be made twice.
 #[tokio::test]
 async fn a_job_that_was_sent_and_never_answered_may_have_run() {
-    let file = File::new("lost", &job());
-    let error = execute(&client([dying().await, nowhere().await]), &file.submit())
-        .await
-        .unwrap_err();
+    let file = JobFile::new("lost", &job());
+    let error = execute(
+        &client([crashing_entry().await, unreachable_entry().await]),
+        &file.submit(),
+    )
+    .await
+    .unwrap_err();
     assert_eq!(error.exit(), Exit::Failed);
     assert!(error.to_string().contains(JOB), "{error}");
 }
 
 #[tokio::test]
-async fn entries_that_are_all_down_are_told_apart() {
-    let file = File::new("down", &job());
-    let outcome = execute(&client([nowhere().await, nowhere().await]), &file.submit()).await;
+async fn a_job_is_unreachable_when_all_entries_are_down() {
+    let file = JobFile::new("down", &job());
+    let outcome = execute(
+        &client([unreachable_entry().await, unreachable_entry().await]),
+        &file.submit(),
+    )
+    .await;
     assert_eq!(exit(outcome), Exit::Unreachable);
 }
 
 #[tokio::test]
 async fn a_running_job_is_polled_until_it_ends() {
-    let file = File::new("polled", &job());
+    let file = JobFile::new("polled", &job());
     let running = || async { (StatusCode::ACCEPTED, Json(json!({ "outcome": "running" }))) };
     let ended = || async { Json(json!({ "outcome": "complete", "results": [] })) };
     let router = Router::new()
@@ -155,11 +163,11 @@
     assert_eq!(exit(outcome), Exit::Done);
 }
 
-// The entry takes the job in and is replaced; its successor under the same address knows
-// nothing of the job. Shown as "unknown", a running job would look as if it had never been.
+// The entry accepts the job and is replaced; its successor at the same address does not know
+// the job. Reported as "unknown", a running job would appear never to have existed.
 #[tokio::test]
 async fn a_job_whose_entry_was_replaced_is_submitted_again() {
-    let file = File::new("replaced", &job());
+    let file = JobFile::new("replaced", &job());
     let posts = Arc::new(AtomicUsize::new(0));
     let submit = move || async move {
         match posts.fetch_add(1, Ordering::Relaxed) {
@@ -176,11 +184,11 @@
 }
 
 #[tokio::test]
-async fn a_job_with_a_bad_id_is_not_sent() {
+async fn a_job_with_an_invalid_id_is_not_sent() {
     let mut wrong = job();
     wrong["id"] = json!("7");
-    let file = File::new("bad-id", &wrong);
-    let error = execute(&client([nowhere().await]), &file.submit())
+    let file = JobFile::new("bad-id", &wrong);
+    let error = execute(&client([unreachable_entry().await]), &file.submit())
         .await
         .unwrap_err();
     assert_eq!(error.exit(), Exit::Usage);
@@ -192,7 +200,7 @@
     let answer =
         || async { Json(json!({ "outcome": "cancelled", "ran": ["a"], "not_run": ["b"] })) };
     let router = Router::new().route(&format!("/v1/jobs/{JOB}"), delete(answer));
-    let client = client([nowhere().await, serve(router).await]);
+    let client = client([unreachable_entry().await, serve(router).await]);
     let report = execute(&client, &Action::Cancel(JOB.parse().unwrap()))
         .await
         .unwrap();
--- a/crates/cassiarock-operator/tests/why.rs
+++ b/crates/cassiarock-operator/tests/why.rs
@@ -1,4 +1,4 @@
-//! Explaining a request from log lines.
+//! Tests of `why`: explaining a request from log lines.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -15,10 +15,10 @@
 "#;
 
 #[test]
-fn lines_of_all_processes_are_put_in_order() {
+fn lines_of_all_processes_are_sorted_by_time() {
     let trace = RequestTrace::new("r-1", LOG.lines()).unwrap();
-    let whats: Vec<&str> = trace.lines.iter().map(|line| line.what.as_str()).collect();
-    assert_eq!(whats, ["admitted", "order", "ended", "failed"]);
+    let kinds: Vec<&str> = trace.lines.iter().map(|line| line.what.as_str()).collect();
+    assert_eq!(kinds, ["admitted", "order", "ended", "failed"]);
 }
 
 #[test]
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_request_without_an_outcome_is_said_to_have_none() {
+fn a_missing_outcome_is_reported() {
     let trace = RequestTrace::new("r-2", LOG.lines()).unwrap();
     assert!(
         trace.cause.contains("no outcome is logged: entry-1"),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_line_that_names_no_process_takes_the_collectors() {
+fn a_line_without_a_process_takes_the_one_in_its_prefix() {
     let line = LogLine::parse(r#"4.1 entry-1 {"what":"x","at":"t"}"#).unwrap();
     assert_eq!(line.process, "entry-1");
     let line = LogLine::parse(r#"4.1 host {"what":"x","process":"entry-2"}"#).unwrap();
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Both binaries as an operator meets them.
+//! Tests of both binaries, run as processes.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use cassiarock_settings::{Agent, Entry, Format};
@@ -13,10 +13,11 @@
 const DAEMON: &str = env!("CARGO_BIN_EXE_cassiarockd");
 const CLIENT: &str = env!("CARGO_BIN_EXE_cassiarock");
 
-/// The options of the client's examples that need no running system.
-const ALONE: [&str; 2] = ["--config", "--role"];
+/// Options that mark those examples of the client that need no running system.
+const OFFLINE_OPTIONS: [&str; 2] = ["--config", "--role"];
 
-/// Runs a binary in the root of the repository, where the examples' paths begin.
+/// Runs a binary in the root of the repository, to which the paths in the examples are
+/// relative.
 fn run(program: &str, arguments: &[&str]) -> Output {
     let mut command = Command::new(program);
     command.current_dir(env!("CARGO_MANIFEST_DIR"));
@@ -27,7 +28,7 @@
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-/// The lines under `Examples:` that begin with `name`, without it.
+/// Returns the lines under `Examples:` that begin with `name`, without it.
 fn examples<'a>(help: &'a str, name: &str) -> Vec<Vec<&'a str>> {
     help.lines()
         .skip_while(|line| !line.contains("Examples:"))
@@ -36,14 +37,14 @@
         .collect()
 }
 
-// An operator misspells a field and starts the process: a process that started with the
-// default instead would run under a limit that nobody chose, and nobody would notice.
+// An operator misspells a field. A process that started with the default instead would run
+// unnoticed under a limit that the operator did not choose.
 #[parameterized(
     entry = { DAEMON, &["entry", "--settings"], "entry", "drain_limit", "drain_limt" },
     agent = { DAEMON, &["agent", "--settings"], "agent", "slots", "slot" },
     client = { CLIENT, &["status", "--settings"], "client", "timeout", "time_out" },
 )]
-fn an_unknown_field_ends_the_process_at_once(
+fn an_unknown_field_stops_the_process_at_startup(
     program: &str,
     arguments: &[&str],
     example: &str,
@@ -63,28 +64,28 @@
     )
     .unwrap();
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     let output = run(program, &[arguments, &[name]].concat());
-    let took = began.elapsed();
+    let elapsed = started_at.elapsed();
     std::fs::remove_file(&file).unwrap();
 
-    let complaint = text(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{complaint}");
-    assert!(took < Duration::from_secs(1), "{took:?}");
+    let stderr = text(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
+    assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
     let expected = format!("{name}: field `{wrong}`: unknown; did you mean `{right}`?");
-    assert!(complaint.contains(&expected), "{complaint}");
+    assert!(stderr.contains(&expected), "{stderr}");
     assert!(output.stdout.is_empty());
 }
 
 #[parameterized(whole = { &["--help"] }, entry = { &["entry", "--help"] }, agent = { &["agent", "--help"] })]
-fn the_daemons_examples_work(arguments: &[&str]) {
+fn the_examples_of_the_daemon_work(arguments: &[&str]) {
     let output = run(DAEMON, arguments);
     assert!(output.status.success());
     let help = text(&output.stdout);
     let examples = examples(&help, "cassiarockd ");
     assert!(!examples.is_empty(), "{help}");
     for mut example in examples {
-        // The addresses of the examples are not this machine's, so they are only checked.
+        // The addresses in the examples belong to other machines, so the settings are only checked.
         if !example.contains(&"--check") {
             example.push("--check");
         }
@@ -98,26 +99,28 @@
 }
 
 #[test]
-fn the_clients_examples_that_need_no_system_work() {
-    let mut tried = 0;
+fn the_offline_examples_of_the_client_work() {
+    let mut count = 0;
     for path in [&["rules", "check"][..], &["settings", "check"]] {
         let help = text(&run(CLIENT, &[path, &["--help"]].concat()).stdout);
         let examples = examples(&help, "cassiarock ").into_iter();
-        for example in examples.filter(|words| words.iter().any(|word| ALONE.contains(word))) {
+        for example in
+            examples.filter(|words| words.iter().any(|word| OFFLINE_OPTIONS.contains(word)))
+        {
             let output = run(CLIENT, &example);
             assert!(
                 output.status.success(),
                 "{example:?}: {}",
                 text(&output.stderr)
             );
-            tried += 1;
+            count += 1;
         }
     }
-    assert_eq!(tried, 3);
+    assert_eq!(count, 3);
 }
 
 #[parameterized(daemon = { DAEMON, &["keeper"] }, client = { CLIENT, &["rule", "list"] })]
-fn a_wrong_command_line_ends_with_code_2(program: &str, arguments: &[&str]) {
+fn an_invalid_command_line_exits_with_code_2(program: &str, arguments: &[&str]) {
     let output = run(program, arguments);
     assert_eq!(output.status.code(), Some(2));
     assert!(output.stdout.is_empty());
@@ -150,7 +153,7 @@
     assert_eq!(names, ["cassiarock", "cassiarockd"]);
 }
 
-/// A daemon that has begun to listen, with what it logged until then.
+/// A daemon that listens, with the lines that it has logged.
 struct Daemon {
     child: Child,
     lines: Lines<BufReader<ChildStderr>>,
@@ -159,9 +162,9 @@
 }
 
 impl Daemon {
-    /// Starts `role` on drawn ports, with a log that does not answer.
+    /// Starts `role` on ephemeral ports, with an unreachable log, and waits until it listens.
     fn start(role: &str, format: Format) -> Self {
-        let settings = idle(role, format);
+        let settings = write_idle_settings(role, format);
         let mut child = Command::new(DAEMON)
             .args([role, "--settings", settings.to_str().unwrap()])
             .stderr(Stdio::piped())
@@ -176,7 +179,7 @@
             log.push(
                 lines
                     .next()
-                    .expect("the process ends before it listens")
+                    .expect("the process exited before it listened")
                     .unwrap(),
             );
         }
@@ -188,8 +191,8 @@
         }
     }
 
-    /// Sends SIGTERM and gives the exit code and the whole log.
-    fn end(mut self) -> (Option<i32>, Vec<String>) {
+    /// Sends SIGTERM and returns the exit code and all log lines.
+    fn terminate(mut self) -> (Option<i32>, Vec<String>) {
         let process = Pid::from_raw(i32::try_from(self.child.id()).unwrap());
         kill(process, Signal::SIGTERM).unwrap();
         self.log.extend(self.lines.map(Result::unwrap));
@@ -198,8 +201,8 @@
     }
 }
 
-/// A file with settings for an idle process.
-fn idle(role: &str, format: Format) -> PathBuf {
+/// Writes a settings file for a process without work.
+fn write_idle_settings(role: &str, format: Format) -> PathBuf {
     let (log, key) = ("http://127.0.0.1:1", "0123456789abcdef");
     let settings = if role == "entry" {
         let mut entry = Entry::new(role, "andes-1", log, key);
@@ -208,7 +211,7 @@
     } else {
         let mut agent = Agent::new(role, "andes-1", log, key);
         agent.log_format = format;
-        // Without a log it cannot announce its leaving, and tries until the limit.
+        // Without a log it cannot announce its departure, and retries until the drain limit.
         agent.drain_limit = Duration::from_secs(1);
         serde_json::to_string(&agent)
     };
@@ -218,11 +221,11 @@
     file
 }
 
-// The platform replaces a VM while its process is idle: the process must end by itself and
-// report success, or the replacement waits for the platform's own kill.
+// The platform replaces a VM whose process is idle. The process must exit on its own with
+// success, otherwise the replacement waits until the platform kills it.
 #[parameterized(entry = { "entry" }, agent = { "agent" })]
-fn an_idle_process_ends_cleanly_on_sigterm(role: &str) {
-    let (code, log) = Daemon::start(role, Format::Text).end();
+fn an_idle_process_exits_cleanly_on_sigterm(role: &str) {
+    let (code, log) = Daemon::start(role, Format::Text).terminate();
     assert_eq!(code, Some(0), "{log:?}");
     assert!(
         log.iter().any(|line| line.contains("signal: drain")),
@@ -231,8 +234,8 @@
 }
 
 #[test]
-fn every_log_line_is_an_object_in_json() {
-    let (_, log) = Daemon::start("entry", Format::Json).end();
+fn every_json_log_line_is_an_object() {
+    let (_, log) = Daemon::start("entry", Format::Json).terminate();
     for line in log {
         let line: serde_json::Value = serde_json::from_str(&line).unwrap();
         assert!(
