--- a/crates/cassiarock-operator/src/run/mod.rs
+++ b/crates/cassiarock-operator/src/run/mod.rs
@@ -1,14 +1,14 @@
-//! Carrying out commands.
+//! Execution of commands.
 
 mod answer;
 mod cancel;
-mod census;
 mod check;
 mod config;
 mod explain;
-mod force;
 mod platform;
+mod probe;
 mod restore;
+mod rollout;
 mod rules;
 mod simulate;
 mod status;
@@ -20,7 +20,7 @@
 use cassiarock_rule::State;
 use cassiarock_settings::Client;
 
-/// Carries out a command and returns what to show.
+/// Executes a command and returns its report.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -39,23 +39,23 @@
             config: Some(config),
             file,
         }) => rules::check_alone(file, config),
-        action => act(&Client::load(&command.settings)?, action).await,
+        action => execute(&Client::load(&command.settings)?, action).await,
     }
 }
 
-/// Carries out an action with these settings.
+/// Executes an action with these settings.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
 /// # async fn main() {
-/// use cassiarock_operator::{Action, Exit, act};
+/// use cassiarock_operator::{Action, Exit, execute};
 /// use cassiarock_settings::Client;
 /// let nowhere = Client::new("ana", "http://127.0.0.1:1").with_status(["http://127.0.0.1:1"]);
-/// let report = act(&nowhere, &Action::Status).await.unwrap();
+/// let report = execute(&nowhere, &Action::Status).await.unwrap();
 /// assert_eq!(report.exit, Exit::Unreachable);
 /// # }
 /// ```
-pub async fn act(settings: &Client, action: &Action) -> Result<Report, Error> {
+pub async fn execute(settings: &Client, action: &Action) -> Result<Report, Error> {
     match action {
         Action::Submit(submit) => submit::run(settings, submit).await,
         Action::Cancel(job) => cancel::run(settings, *job).await,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The version in force and who made it.
+/// Describes the version in force and its author.
 fn version(state: &State) -> String {
     match &state.change {
         Some(change) => format!("version {} by {}", state.version, change.by),
