--- a/crates/cassiarock-caller/src/body/task.rs
+++ b/crates/cassiarock-caller/src/body/task.rs
@@ -1,7 +1,7 @@
 //! One task in a request body.
 
 use super::check;
-use crate::{Error, Limit, Need, submission};
+use crate::{Error, Limit, Resources, submission};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_with::{DurationMilliSeconds, serde_as};
@@ -49,14 +49,14 @@
 
 impl Needs {
     /// The checked need; `field` is its path.
-    pub(super) fn check(self, field: &str) -> Result<Need, Error> {
+    pub(super) fn check(self, field: &str) -> Result<Resources, Error> {
         if !self.cores.is_finite() || self.cores < 0.0 {
             return Err(Error::field(
                 format!("{field}.cores"),
                 "it is not a number from 0 up",
             ));
         }
-        Ok(Need {
+        Ok(Resources {
             cores: self.cores,
             memory: self.memory_mb.saturating_mul(MEGABYTE),
             accelerators: self.accelerators,
--- a/crates/cassiarock-caller/src/lib.rs
+++ b/crates/cassiarock-caller/src/lib.rs
@@ -19,4 +19,4 @@
 pub use limit::Limit;
 pub use router::router;
 pub use server::serve;
-pub use submission::{Need, Submission, Task};
+pub use submission::{Resources, Submission, Task};
--- a/crates/cassiarock-caller/src/submission.rs
+++ b/crates/cassiarock-caller/src/submission.rs
@@ -7,7 +7,7 @@
 
 /// What a task declares to need. Declared sizes are hints: they are often far off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Need {
+pub struct Resources {
     /// Processor cores.
     pub cores: f64,
     /// Memory in bytes.
@@ -24,7 +24,7 @@
     /// The JSON text of the payload, as the caller wrote it.
     pub payload: Arc<[u8]>,
     /// What the task declares to need.
-    pub need: Need,
+    pub need: Resources,
     /// The declared run time, if any.
     pub run: Option<Duration>,
 }
@@ -124,7 +124,7 @@
         Self {
             id: id.into(),
             payload: payload.into(),
-            need: Need::default(),
+            need: Resources::default(),
             run: None,
         }
     }
--- a/crates/cassiarock-entry/src/state/calls.rs
+++ b/crates/cassiarock-entry/src/state/calls.rs
@@ -251,7 +251,7 @@
     }
 }
 
-fn task_need(need: &caller::Need) -> Resources {
+fn task_need(need: &caller::Resources) -> Resources {
     // A value that is out of range is more than any upstream has.
     let millis = (need.cores * 1000.0).clamp(0.0, 1e15) as u64;
     Resources::new(
