--- a/crates/cassiarock-caller/src/answer.rs
+++ b/crates/cassiarock-caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told.
+//! Answers to calls.
 
 use cassiarock_id::Name;
 use std::sync::Arc;
@@ -23,16 +23,16 @@
     },
     /// The job failed, and some of it ran or may have run.
     Failed {
-        /// Why.
+        /// The reason for the answer.
         reason: String,
         /// The tasks that ran or may have run.
         ran: Vec<Name>,
     },
     /// The job was refused. Nothing of it ran, and nothing of it can start any more.
     Refused {
-        /// Why.
+        /// The reason for the answer.
         reason: String,
-        /// When a new submission, under a new id, has a chance.
+        /// How long to wait before a new submission under a new id.
         retry_after: Duration,
     },
     /// The job was cancelled.
@@ -42,26 +42,26 @@
         /// The tasks that did not run and cannot start any more.
         not_run: Vec<Name>,
     },
-    /// The job is taken in and has no answer yet.
+    /// The job is accepted and has no final answer yet.
     Running,
-    /// Nothing is known of the job: never heard of, or older than what is kept. This
-    /// call started nothing of it; an earlier one may have.
+    /// The job is not known: it was never submitted, or its record has expired. This call
+    /// started nothing of it; an earlier one may have.
     Unknown,
     /// The id is in use for a job with other content. This call started nothing.
     Conflict,
-    /// The submission cannot be decided upon as it stands. This call started nothing.
+    /// The submission is not valid. This call started nothing.
     Invalid {
         /// The offending field of the request body.
         field: String,
         /// What is wrong with it.
         reason: String,
     },
-    /// The call was not taken in, for want of room or because the process is leaving.
+    /// The call was not accepted: the queue is full or the process is shutting down.
     /// It started nothing itself; an earlier submission of the same id may have.
     Unavailable {
-        /// Why.
+        /// The reason for the answer.
         reason: String,
-        /// When to call again; the same id may be used.
+        /// How long to wait before the next call, which may use the same id.
         retry_after: Duration,
     },
 }
--- a/crates/cassiarock-caller/src/body/check.rs
+++ b/crates/cassiarock-caller/src/body/check.rs
@@ -4,7 +4,7 @@
 use cassiarock_id::{Job, Name, Wall};
 use std::time::Duration;
 
-/// A name: not empty, not over the limit, no control characters.
+/// Checks that a name is not empty, within the limit and without control characters.
 pub(super) fn name(field: impl Into<String>, text: &str, limit: &Limit) -> Result<Name, Error> {
     if text.is_empty() {
         return Err(Error::field(field, "it is empty"));
@@ -34,7 +34,7 @@
     }
 }
 
-/// The deadline: above zero and within the limit.
+/// Checks that the deadline is above zero and within the limit.
 pub(super) fn deadline(deadline: Duration, limit: &Limit) -> Result<Duration, Error> {
     if deadline.is_zero() {
         return Err(Error::field("deadline_ms", "it is zero"));
--- a/crates/cassiarock-caller/src/body/job.rs
+++ b/crates/cassiarock-caller/src/body/job.rs
@@ -23,7 +23,7 @@
 }
 
 impl Job {
-    /// The checked submission.
+    /// Checks the body and returns the submission.
     pub(crate) fn check(self, limit: &Limit) -> Result<Submission, Error> {
         let job = check::id(self.id.as_deref(), self.repeatable)?;
         let kind = check::name("kind", &self.kind, limit)?;
--- a/crates/cassiarock-caller/src/body/request.rs
+++ b/crates/cassiarock-caller/src/body/request.rs
@@ -31,7 +31,7 @@
 }
 
 impl Request {
-    /// The checked submission, of one task.
+    /// Checks the body and returns a submission of one task.
     pub(crate) fn check(self, limit: &Limit) -> Result<Submission, Error> {
         let job = check::id(self.id.as_deref(), self.repeatable)?;
         let kind = check::name("kind", &self.kind, limit)?;
--- a/crates/cassiarock-caller/src/body/task.rs
+++ b/crates/cassiarock-caller/src/body/task.rs
@@ -7,7 +7,7 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 use std::time::Duration;
 
-/// Memory is declared in megabytes of 2^20 bytes.
+/// Bytes in a megabyte of declared memory.
 const MEGABYTE: u64 = 1 << 20;
 
 /// A task as the caller writes it.
@@ -34,7 +34,7 @@
 }
 
 impl Task {
-    /// The checked task; `index` is its place in the job.
+    /// Checks the task; `index` is its position in the job.
     pub(super) fn check(self, index: usize, limit: &Limit) -> Result<submission::Task, Error> {
         let id = check::name(format!("tasks[{index}].id"), &self.id, limit)?;
         let need = self.need.check(&format!("tasks[{index}].need"))?;
@@ -48,7 +48,7 @@
 }
 
 impl Needs {
-    /// The checked need; `field` is its path.
+    /// Checks the resources; `field` is their path in the request body.
     pub(super) fn check(self, field: &str) -> Result<Resources, Error> {
         if !self.cores.is_finite() || self.cores < 0.0 {
             return Err(Error::field(
--- a/crates/cassiarock-caller/src/error.rs
+++ b/crates/cassiarock-caller/src/error.rs
@@ -1,9 +1,9 @@
-//! Why a request is turned away before anything is decided about it.
+//! Errors of requests that fail their checks.
 
 use axum::http::StatusCode;
 use std::time::Duration;
 
-/// A fault in a request from a caller. Nothing was started by it.
+/// An error in a request from a caller. The request started nothing.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
     /// The body is not JSON or has not the documented shape. Send it as
--- a/crates/cassiarock-caller/src/limit.rs
+++ b/crates/cassiarock-caller/src/limit.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-/// Bounds on what one caller can make the process hold.
+/// Limits on the resources that one caller can make the process hold.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Limit {
-    /// The bytes of a request body.
+    /// The maximum bytes of a request body.
     pub body: usize,
-    /// The bytes of a request's line and headers.
+    /// The maximum bytes of a request's line and headers.
     pub headers: usize,
-    /// The open connections.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// The tasks of one job.
+    /// The maximum number of tasks in a job.
     pub tasks: usize,
-    /// The bytes of an id, a kind or a team.
+    /// The maximum bytes of an id, a kind or a team.
     pub name: usize,
     /// The longest deadline and the longest wait.
     pub deadline: Duration,
--- a/crates/cassiarock-caller/src/reply.rs
+++ b/crates/cassiarock-caller/src/reply.rs
@@ -82,7 +82,7 @@
     let (status, body) = match answer {
         Answer::Complete { results } => match items(results) {
             Some(results) => (StatusCode::OK, Body::Complete { results }),
-            None => return response(job, &garbled(results)),
+            None => return response(job, &invalid_result(results)),
         },
         Answer::Failed { reason, ran } => (
             StatusCode::BAD_GATEWAY,
@@ -130,7 +130,7 @@
     with_retry(status, Some(job), body)
 }
 
-/// The response to a request that is turned away.
+/// The response to a request that fails its checks.
 pub(crate) fn error(error: &Error) -> Response {
     let reason = error.to_string();
     let body = Body::Invalid {
@@ -155,8 +155,8 @@
     }
 }
 
-/// The results as JSON; none at all if one of them is not JSON, since an answer comes
-/// whole or not at all.
+/// Parses the results as JSON. Returns `None` if any of them is not JSON, since partial
+/// results are never sent.
 fn items(results: &[Output]) -> Option<Vec<Item<'_>>> {
     results.iter().map(item).collect()
 }
@@ -169,7 +169,7 @@
     })
 }
 
-fn garbled(results: &[Output]) -> Answer {
+fn invalid_result(results: &[Output]) -> Answer {
     Answer::Failed {
         reason: "a result is not JSON".to_owned(),
         ran: results.iter().map(|output| output.id.clone()).collect(),
--- a/crates/cassiarock-caller/src/router/job.rs
+++ b/crates/cassiarock-caller/src/router/job.rs
@@ -1,6 +1,6 @@
 //! Jobs: submit, find, cancel.
 
-use super::door::{Door, Query};
+use super::state::{ApiState, Query};
 use crate::{Call, Error, Submission, body, reply};
 use axum::body::Body;
 use axum::extract::rejection::QueryRejection;
@@ -10,37 +10,45 @@
 use cassiarock_id::Job;
 use std::time::Duration;
 
-pub(super) type Wait = Result<FromQuery<Query>, QueryRejection>;
+pub(super) type WaitQuery = Result<FromQuery<Query>, QueryRejection>;
 
 /// `POST /v1/jobs`
-pub(super) async fn submit(State(door): State<Door>, query: Wait, body: Body) -> Response {
-    match check(&door, query, body).await {
-        Ok((submission, wait)) => door.submit(submission, wait).await,
+pub(super) async fn submit(
+    State(state): State<ApiState>,
+    query: WaitQuery,
+    body: Body,
+) -> Response {
+    match check(&state, query, body).await {
+        Ok((submission, wait)) => state.submit(submission, wait).await,
         Err(error) => reply::error(&error),
     }
 }
 
 /// `GET /v1/jobs/{id}`
 pub(super) async fn find(
-    State(door): State<Door>,
+    State(state): State<ApiState>,
     Path(path): Path<String>,
-    query: Wait,
+    query: WaitQuery,
 ) -> Response {
-    let checked = wait(&door, query).and_then(|wait| Ok((id(&path)?, wait)));
+    let checked = wait(&state, query).and_then(|wait| Ok((id(&path)?, wait)));
     match checked {
-        Ok((job, wait)) => door.call(job, |answer| Call::Find(job, wait, answer)).await,
+        Ok((job, wait)) => {
+            state
+                .call(job, |answer| Call::Find(job, wait, answer))
+                .await
+        }
         Err(error) => reply::error(&error),
     }
 }
 
 /// `DELETE /v1/jobs/{id}`
-pub(super) async fn cancel(State(door): State<Door>, Path(path): Path<String>) -> Response {
+pub(super) async fn cancel(State(state): State<ApiState>, Path(path): Path<String>) -> Response {
     let job = match id(&path) {
         Ok(job) => job,
         Err(error) => return reply::error(&error),
     };
-    let mut response = door.call(job, |answer| Call::Cancel(job, answer)).await;
-    // To the one who cancels, a cancelled job is a success.
+    let mut response = state.call(job, |answer| Call::Cancel(job, answer)).await;
+    // For the cancel request itself, a cancelled job is a success.
     if response.status() == StatusCode::GONE {
         *response.status_mut() = StatusCode::OK;
     }
@@ -48,20 +56,20 @@
 }
 
 async fn check(
-    door: &Door,
-    query: Wait,
+    state: &ApiState,
+    query: WaitQuery,
     body: Body,
 ) -> Result<(Submission, Option<Duration>), Error> {
-    let wait = wait(door, query)?;
-    let job: body::Job = door.read(body).await?;
-    Ok((job.check(&door.limit)?, wait))
+    let wait = wait(state, query)?;
+    let job: body::Job = state.read(body).await?;
+    Ok((job.check(&state.limit)?, wait))
 }
 
-/// The wait in the query.
-pub(super) fn wait(door: &Door, query: Wait) -> Result<Option<Duration>, Error> {
+/// Returns the wait in the query, checked against the limit.
+pub(super) fn wait(state: &ApiState, query: WaitQuery) -> Result<Option<Duration>, Error> {
     let FromQuery(query) =
         query.map_err(|rejection| Error::field("wait", rejection.body_text()))?;
-    query.wait(&door.limit)
+    query.wait(&state.limit)
 }
 
 fn id(path: &str) -> Result<Job, Error> {
--- a/crates/cassiarock-caller/src/router/mod.rs
+++ b/crates/cassiarock-caller/src/router/mod.rs
@@ -1,13 +1,13 @@
 //! The routes.
 
-mod door;
 mod job;
 mod request;
+mod state;
 
 use crate::{Call, Limit};
 use axum::Router;
 use axum::routing::{get, post};
-use door::Door;
+use state::ApiState;
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
@@ -36,7 +36,7 @@
 /// # }
 /// ```
 pub fn router(limit: Limit, calls: mpsc::Sender<Call>) -> Router {
-    let door = Door {
+    let state = ApiState {
         limit: Arc::new(limit),
         calls,
     };
@@ -44,5 +44,5 @@
         .route("/v1/jobs", post(job::submit))
         .route("/v1/jobs/{id}", get(job::find).delete(job::cancel))
         .route("/v1/requests", post(request::submit))
-        .with_state(door)
+        .with_state(state)
 }
--- a/crates/cassiarock-caller/src/router/request.rs
+++ b/crates/cassiarock-caller/src/router/request.rs
@@ -1,7 +1,7 @@
 //! Single requests.
 
-use super::door::Door;
-use super::job::{Wait, wait};
+use super::job::{WaitQuery, wait};
+use super::state::ApiState;
 use crate::{Error, Submission, body, reply};
 use axum::body::Body;
 use axum::extract::State;
@@ -9,19 +9,23 @@
 use std::time::Duration;
 
 /// `POST /v1/requests`
-pub(super) async fn submit(State(door): State<Door>, query: Wait, body: Body) -> Response {
-    match check(&door, query, body).await {
-        Ok((submission, wait)) => door.submit(submission, wait).await,
+pub(super) async fn submit(
+    State(state): State<ApiState>,
+    query: WaitQuery,
+    body: Body,
+) -> Response {
+    match check(&state, query, body).await {
+        Ok((submission, wait)) => state.submit(submission, wait).await,
         Err(error) => reply::error(&error),
     }
 }
 
 async fn check(
-    door: &Door,
-    query: Wait,
+    state: &ApiState,
+    query: WaitQuery,
     body: Body,
 ) -> Result<(Submission, Option<Duration>), Error> {
-    let wait = wait(door, query)?;
-    let request: body::Request = door.read(body).await?;
-    Ok((request.check(&door.limit)?, wait))
+    let wait = wait(state, query)?;
+    let request: body::Request = state.read(body).await?;
+    Ok((request.check(&state.limit)?, wait))
 }
--- a/crates/cassiarock-caller/src/router/door.rs
+++ b/crates/cassiarock-caller/src/router/state.rs
@@ -1,4 +1,4 @@
-//! What the handlers share: the limits, and the way to the decisions.
+//! State shared by the handlers: the limits and the channel for checked calls.
 
 use crate::{Answer, Call, Error, Limit, Submission, body, reply};
 use axum::body::Body;
@@ -11,18 +11,18 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// When to call again after the queue of calls was full: the queue empties in
-/// milliseconds, and `Retry-After` has whole seconds.
+/// Suggested retry delay when the queue of calls is full. The queue drains in
+/// milliseconds, but `Retry-After` has a resolution of one second.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The query string of requests that wait.
+/// The query string of requests that may wait for an answer.
 #[derive(Deserialize)]
 pub(super) struct Query {
     wait: Option<f64>,
 }
 
 impl Query {
-    /// The wait in the query; none if the query gives none.
+    /// Returns the requested wait, or `None` if the query has none.
     pub(super) fn wait(&self, limit: &Limit) -> Result<Option<Duration>, Error> {
         let Some(seconds) = self.wait else {
             return Ok(None);
@@ -37,26 +37,26 @@
     }
 }
 
-/// The handlers' state.
+/// The state of the handlers.
 #[derive(Clone)]
-pub(super) struct Door {
+pub(super) struct ApiState {
     pub(super) limit: Arc<Limit>,
     pub(super) calls: mpsc::Sender<Call>,
 }
 
-impl Door {
-    /// The parsed body. A caller that sends it slowly holds a connection and a buffer,
-    /// and many of them hold them all; the time limit frees both.
+impl ApiState {
+    /// Reads and parses a body. The time limit keeps slow callers from occupying all
+    /// connections and buffers.
     pub(super) async fn read<T: DeserializeOwned>(&self, body: Body) -> Result<T, Error> {
         let limit = self.limit.receive;
         let bytes = tokio::time::timeout(limit, axum::body::to_bytes(body, self.limit.body))
             .await
             .map_err(|_| Error::Slow { limit })?
-            .map_err(|error| self.unread(&error))?;
+            .map_err(|error| self.read_error(&error))?;
         body::parse(&bytes)
     }
 
-    /// Submits, and waits for the answer: for `wait`, or without end if that is none.
+    /// Submits a job and waits for its answer, without a time limit if `wait` is `None`.
     pub(super) async fn submit(&self, submission: Submission, wait: Option<Duration>) -> Response {
         let job = submission.job;
         let tasks: Vec<Name> = submission
@@ -74,10 +74,10 @@
                 .unwrap_or(Ok(Answer::Running)),
             None => receiver.await,
         };
-        reply::response(job, &answer.unwrap_or_else(|_| silent(tasks)))
+        reply::response(job, &answer.unwrap_or_else(|_| unanswered(tasks)))
     }
 
-    /// Calls, and waits for the answer.
+    /// Sends a find or cancel call and waits for its answer.
     pub(super) async fn call(
         &self,
         job: Job,
@@ -91,15 +91,15 @@
         reply::response(job, &answer)
     }
 
-    /// Hands a call on. A burst fills the channel faster than it is decided upon: a
-    /// caller that is told so at once retries later, while a longer queue would only
-    /// make every answer late. Nothing of the call has started, but an earlier
-    /// submission under its id may have, so this is no refusal.
+    /// Queues a call without blocking. If the channel is full, the caller is told to
+    /// retry at once, since a longer queue would only delay every answer. This call has
+    /// started nothing, but an earlier submission with the same id may have, so the
+    /// answer is `Unavailable` and not `Refused`.
     fn send(&self, call: Call) -> Result<(), Answer> {
         self.calls.try_send(call).map_err(|_| unavailable())
     }
 
-    fn unread(&self, error: &axum::Error) -> Error {
+    fn read_error(&self, error: &axum::Error) -> Error {
         let cause = std::error::Error::source(error);
         if cause.is_some_and(|cause| cause.is::<LengthLimitError>()) {
             return Error::Oversized {
@@ -120,9 +120,9 @@
     }
 }
 
-/// The deciding side ended without an answer, after it had taken the submission: any of
-/// the tasks may have run.
-fn silent(tasks: Vec<Name>) -> Answer {
+/// The answer when the receiver of calls ended after it had taken the submission but
+/// before it answered: any of the tasks may have run.
+fn unanswered(tasks: Vec<Name>) -> Answer {
     Answer::Failed {
         reason: "the entry ended before it knew the answer".to_owned(),
         ran: tasks,
--- a/crates/cassiarock-caller/src/server.rs
+++ b/crates/cassiarock-caller/src/server.rs
@@ -13,17 +13,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The least that the library takes as a buffer for the headers.
-const LEAST_BUFFER: usize = 8 << 10;
-/// After a failed accept, mostly for want of file descriptors, the next one fails as
-/// well; the pause keeps this from taking the whole processor.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How many connections over the limit are told so at a time; the rest are closed.
-const TURNED_AWAY: usize = 64;
-/// How long the telling may take.
-const TELLING: Duration = Duration::from_secs(1);
-/// What they are told.
-const FULL: &str = r#"{"outcome":"unavailable","reason":"too many connections, not started by this submission","retry_after_s":1}"#;
+/// The smallest header buffer that hyper accepts, in bytes.
+const MIN_HEADER_BUFFER: usize = 8 << 10;
+/// Pause after a failed accept. The usual cause is a lack of file descriptors, so the
+/// next accept fails as well; without a pause the loop would use a whole processor.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// How many connections over the limit are answered at a time; the rest are closed.
+const MAX_REJECTING: usize = 64;
+/// Time limit for answering a connection over the limit.
+const REJECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The response body for connections over the limit.
+const REJECT_BODY: &str = r#"{"outcome":"unavailable","reason":"too many connections, not started by this submission","retry_after_s":1}"#;
 
 /// Serves `router` until `shutdown` is ready, then takes no more connections, lets every
 /// request in flight end, and returns.
@@ -51,7 +51,7 @@
         router,
         graceful: GracefulShutdown::new(),
         free: Arc::new(Semaphore::new(limit.connections)),
-        tellers: Arc::new(Semaphore::new(TURNED_AWAY)),
+        rejecting: Arc::new(Semaphore::new(MAX_REJECTING)),
     };
     tokio::select! {
         () = server.accept(&listener) => {}
@@ -66,7 +66,7 @@
     router: Router,
     graceful: GracefulShutdown,
     free: Arc<Semaphore>,
-    tellers: Arc<Semaphore>,
+    rejecting: Arc<Semaphore>,
 }
 
 impl Server {
@@ -76,19 +76,20 @@
                 Ok((stream, _)) => self.admit(stream),
                 Err(error) => {
                     log::warn!("accepting a caller's connection: {error}");
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
     }
 
-    /// A flood of connections would hold memory and file descriptors that the ones at
-    /// work need. Those over the limit are told at once rather than left waiting in the
-    /// kernel's queue, where they would look like a dead entry to a balancer.
+    /// Serves a connection, or rejects it if too many are open, since more would take
+    /// memory and file descriptors from those in use. A rejected connection gets a
+    /// response: left in the kernel's queue, it would look like a dead entry to a load
+    /// balancer.
     fn admit(&self, stream: TcpStream) {
         match self.free.clone().try_acquire_owned() {
             Ok(permit) => self.handle(stream, permit),
-            Err(_) => self.turn_away(stream),
+            Err(_) => self.reject(stream),
         }
     }
 
@@ -105,42 +106,43 @@
         });
     }
 
-    fn turn_away(&self, stream: TcpStream) {
+    fn reject(&self, stream: TcpStream) {
         metrics::counter!("cassiarock_caller_connections_refused_total").increment(1);
-        if let Ok(teller) = self.tellers.clone().try_acquire_owned() {
+        if let Ok(permit) = self.rejecting.clone().try_acquire_owned() {
             tokio::spawn(async move {
-                let _ = tokio::time::timeout(TELLING, tell(stream)).await;
-                drop(teller);
+                let _ = tokio::time::timeout(REJECT_TIMEOUT, send_rejection(stream)).await;
+                drop(permit);
             });
         }
     }
 }
 
-/// Slow headers hold a connection as slow bodies do; the timer closes it. An idle
-/// connection is closed by the same timer.
+/// Builds the HTTP/1 settings. The timer closes connections that send their headers
+/// slowly, which would hold a connection as slow bodies do, and idle ones.
 fn http(limit: &Limit) -> http1::Builder {
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new())
         .header_read_timeout(limit.receive)
-        .max_buf_size(limit.headers.max(LEAST_BUFFER));
+        .max_buf_size(limit.headers.max(MIN_HEADER_BUFFER));
     http
 }
 
-/// A client takes an answer before its request for a broken connection, so the request's
-/// first bytes are awaited. Closing with the rest unread would reset the connection and
-/// could take the answer with it, so what the caller sends is read until it closes.
-async fn tell(mut stream: TcpStream) -> std::io::Result<()> {
+/// Sends the rejection. A client treats a response that arrives before its request as a
+/// broken connection, so the first bytes of the request are awaited. Closing with unread
+/// input would reset the connection and could discard the response, so the input is read
+/// until the caller closes.
+async fn send_rejection(mut stream: TcpStream) -> std::io::Result<()> {
     let mut rest = [0; 1024];
     if stream.read(&mut rest).await? == 0 {
         return Ok(());
     }
-    let length = FULL.len();
+    let length = REJECT_BODY.len();
     let head = format!(
         "HTTP/1.1 429 Too Many Requests\r\ncontent-type: application/json\r\nretry-after: 1\r\n\
          connection: close\r\ncontent-length: {length}\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await?;
-    stream.write_all(FULL.as_bytes()).await?;
+    stream.write_all(REJECT_BODY.as_bytes()).await?;
     stream.shutdown().await?;
     while stream.read(&mut rest).await? > 0 {}
     Ok(())
--- a/crates/cassiarock-caller/src/submission.rs
+++ b/crates/cassiarock-caller/src/submission.rs
@@ -1,11 +1,11 @@
-//! What a caller submits.
+//! Jobs and tasks as callers submit them.
 
 use cassiarock_id::{Job, Name};
 use std::sync::Arc;
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What a task declares to need. Declared sizes are hints: they are often far off.
+/// The resources that a task declares. Declared sizes are hints: they are often far off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
     /// Processor cores.
@@ -23,7 +23,7 @@
     pub id: Name,
     /// The JSON text of the payload, as the caller wrote it.
     pub payload: Arc<[u8]>,
-    /// What the task declares to need.
+    /// The declared resources.
     pub need: Resources,
     /// The declared run time, if any.
     pub run: Option<Duration>,
@@ -130,7 +130,7 @@
     }
 }
 
-/// The length goes first, so that moving bytes from one part to the next changes the hash.
+/// Hashes the length first, so that moving bytes from one part to the next changes the hash.
 fn feed(hash: &mut Xxh3, part: &[u8]) {
     hash.update(&part.len().to_le_bytes());
     hash.update(part);
