--- a/crates/cassiarock-caller/tests/api/body.rs
+++ b/crates/cassiarock-caller/tests/api/body.rs
@@ -1,4 +1,4 @@
-//! The checks on what callers send.
+//! The checks of request bodies.
 
 use crate::support::{Api, job, read, reply};
 use cassiarock_caller::{Answer, Call, Limit, Submission};
@@ -120,7 +120,7 @@
     }
 }
 
-/// Sets, or takes out, the value at a JSON pointer.
+/// Sets or removes the value at a JSON pointer.
 fn set(body: &mut Value, path: &str, value: Option<Value>) {
     let (parent, key) = path.rsplit_once('/').unwrap();
     let parent = body.pointer_mut(parent).unwrap();
--- a/crates/cassiarock-caller/tests/api/reply.rs
+++ b/crates/cassiarock-caller/tests/api/reply.rs
@@ -75,10 +75,10 @@
     assert_eq!(response.headers()["retry-after"], "2");
 }
 
-/// A caller gets 200 with one of two results missing. A worker's result got damaged on
-/// its way through the entry, and the answer was built from what was left.
+/// Guards against a 200 with one of two results missing: a worker's result was damaged
+/// in the entry, and the answer was built from the remaining ones.
 #[tokio::test]
-async fn a_result_that_is_no_json_fails_the_whole_answer() {
+async fn a_result_that_is_not_json_fails_the_whole_answer() {
     let results = vec![output("a", "1"), output("b", "{")];
     let api = Api::answering(Limit::default(), Answer::Complete { results }).await;
     let response = api.post("/v1/jobs").json(&job()).send().await.unwrap();
@@ -89,10 +89,11 @@
     );
 }
 
-/// A caller is told "not run" and pays again, but the first payment went through. The
-/// deciding side died with the submission in hand, and the router guessed.
+/// Guards against a "not run" answer for a job that ran, after which the caller pays
+/// twice: the receiver of calls ends while it holds the submission, so the router cannot
+/// know what ran.
 #[tokio::test]
-async fn a_decision_that_never_comes_may_have_run() {
+async fn an_unanswered_submission_may_have_run() {
     let api = Api::new(Limit::default(), drop).await;
     let response = api.post("/v1/jobs").json(&job()).send().await.unwrap();
     let (status, body) = read(response).await;
@@ -100,11 +101,11 @@
     assert_eq!(body["ran"], json!(["a", "b"]));
 }
 
-/// A resubmission of a running job to a crowded entry is told "refused, not run", and
-/// the job then completes. The crowded entry knows nothing of the first submission, so
-/// its answer must not speak for it.
+/// Guards against "refused, not run" for the resubmission of a running job, which then
+/// completes: an entry with a full queue knows nothing of the first submission, so its
+/// answer must not cover it.
 #[tokio::test]
-async fn a_full_queue_is_no_refusal() {
+async fn a_full_queue_is_not_a_refusal() {
     let (hold, mut held) = mpsc::unbounded_channel();
     let api = Api::new(Limit::default(), move |call| {
         hold.send(call).unwrap();
@@ -153,7 +154,7 @@
 }
 
 #[tokio::test]
-async fn polling_hands_the_wait_on() {
+async fn find_passes_the_wait_on() {
     let api = Api::new(Limit::default(), |call| match call {
         Call::Find(_, Some(wait), answer) if wait == Duration::from_millis(1500) => {
             let _ = answer.send(Answer::Running);
@@ -171,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn to_the_one_who_cancels_a_cancelled_job_is_a_success() {
+async fn cancelling_a_job_returns_success() {
     let answer = Answer::Cancelled {
         ran: vec!["a".into()],
         not_run: Vec::new(),
@@ -183,10 +184,10 @@
     assert_eq!((status, &body["outcome"]), (200, &json!("cancelled")));
 }
 
-/// A family's phone loses its network while a booking runs, and the booking is gone. The
-/// entry took the closed connection for a cancellation.
+/// Guards against a lost booking when the caller's connection drops while it runs: the
+/// entry must not treat a closed connection as a cancellation.
 #[tokio::test]
-async fn a_connection_that_drops_cancels_nothing() {
+async fn a_dropped_connection_cancels_nothing() {
     let (seen, calls) = std::sync::mpsc::channel();
     let (finish, finished) = oneshot::channel::<()>();
     let mut finished = Some(finished);
--- a/crates/cassiarock-caller/tests/api/server.rs
+++ b/crates/cassiarock-caller/tests/api/server.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// What the server sends until it closes the connection.
+/// Returns what the server sends until it closes the connection.
 async fn exchange(api: &Api, sent: &'static [u8]) -> String {
     let address = api.address;
     let exchange = tokio::task::spawn_blocking(move || {
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn an_oversized_body_is_turned_away() {
+async fn an_oversized_body_is_rejected() {
     let limit = Limit {
         body: 1000,
         ..Limit::default()
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn oversized_headers_are_turned_away() {
+async fn oversized_headers_are_rejected() {
     let api = Api::answering(Limit::default(), Answer::Running).await;
     let request = api.post("/v1/jobs").header("x-long", "x".repeat(17 << 10));
     let response = request.json(&job()).send().await.unwrap();
@@ -54,10 +54,10 @@
     assert_eq!(api.calls(), 0);
 }
 
-/// Front desks get no connection while a few clients send their requests byte by byte:
-/// each holds a connection for as long as it likes.
+/// Guards against slow clients that send their requests byte by byte and hold their
+/// connections without limit, so that other callers get none.
 #[tokio::test]
-async fn a_body_that_does_not_arrive_is_given_up() {
+async fn an_incomplete_body_times_out() {
     let api = Api::answering(quick(), Answer::Running).await;
     let head = b"POST /v1/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\n{";
     let text = exchange(&api, head).await;
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn headers_that_do_not_arrive_are_given_up() {
+async fn incomplete_headers_time_out() {
     let api = Api::answering(quick(), Answer::Running).await;
     let text = exchange(&api, b"POST /v1/jobs HTTP/1.1\r\nhost:").await;
     assert!(!text.starts_with("HTTP/1.1 2"), "{text}");
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_over_the_limit_is_told_so() {
+async fn a_connection_over_the_limit_is_rejected() {
     let limit = Limit {
         connections: 1,
         ..Limit::default()
@@ -91,10 +91,10 @@
     assert_eq!(first.await.unwrap().unwrap().status(), 202);
 }
 
-/// A cook's sign-off is cut off when its entry is replaced: the process closed its
-/// connections before the answers on them were out.
+/// Guards against a request cut off when its entry is replaced: the process closed its
+/// connections before it had sent the answers.
 #[tokio::test]
-async fn a_shutdown_cuts_no_request() {
+async fn shutdown_completes_requests_in_flight() {
     let (hold, mut held) = mpsc::unbounded_channel();
     let mut api = Api::new(Limit::default(), move |call| hold.send(call).unwrap()).await;
     let request = tokio::spawn(api.post("/v1/jobs").json(&job()).send());
--- a/crates/cassiarock-caller/tests/api/submission.rs
+++ b/crates/cassiarock-caller/tests/api/submission.rs
@@ -1,4 +1,4 @@
-//! The digest, by which a resubmission is known to be the same job.
+//! The digest, which tells whether a resubmission is the same job.
 
 use cassiarock_caller::{Submission, Task};
 use cassiarock_id::{Job, Wall};
--- a/crates/cassiarock-caller/tests/api/support.rs
+++ b/crates/cassiarock-caller/tests/api/support.rs
@@ -1,4 +1,4 @@
-//! A served API whose calls are answered by a closure.
+//! An API server whose calls are answered by a closure.
 
 use cassiarock_caller::{Answer, Call, Limit, router, serve};
 use reqwest::{Client, RequestBuilder, Response};
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-/// Calls that may wait for the decision.
+/// Capacity of the queue of calls.
 const QUEUE: usize = 4;
 
 pub struct Api {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Answers a call, whatever it is.
+/// Answers a call of any kind.
 pub fn reply(call: Call, answer: Answer) {
     let (Call::Submit(_, sender) | Call::Find(_, _, sender) | Call::Cancel(_, sender)) = call;
     let _ = sender.send(answer);
