--- a/crates/cassiarock-caller/src/submission.rs
+++ b/crates/cassiarock-caller/src/submission.rs
@@ -1,13 +1,13 @@
-//! What a caller submits.
+//! Jobs and tasks as callers submit them.
 
 use cassiarock_id::{Job, Name};
 use std::sync::Arc;
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What a task declares to need. Declared sizes are hints: they are often far off.
+/// The resources that a task declares. Declared sizes are hints: they are often far off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Need {
+pub struct Resources {
     /// Processor cores.
     pub cores: f64,
     /// Memory in bytes.
@@ -23,8 +23,8 @@
     pub id: Name,
     /// The JSON text of the payload, as the caller wrote it.
     pub payload: Arc<[u8]>,
-    /// What the task declares to need.
-    pub need: Need,
+    /// The declared resources.
+    pub need: Resources,
     /// The declared run time, if any.
     pub run: Option<Duration>,
 }
@@ -124,13 +124,13 @@
         Self {
             id: id.into(),
             payload: payload.into(),
-            need: Need::default(),
+            need: Resources::default(),
             run: None,
         }
     }
 }
 
-/// The length goes first, so that moving bytes from one part to the next changes the hash.
+/// Hashes the length first, so that moving bytes from one part to the next changes the hash.
 fn feed(hash: &mut Xxh3, part: &[u8]) {
     hash.update(&part.len().to_le_bytes());
     hash.update(part);
