--- a/crates/cassiarock-platform/src/follow/status.rs
+++ b/crates/cassiarock-platform/src/follow/status.rs
@@ -14,9 +14,9 @@
     pub current: bool,
     /// The most agents that this process has seen, present or gone: as many may announce
     /// themselves at once, also when a restore has emptied the membership.
-    pub most: usize,
+    pub max_agents: usize,
     /// Whether the log was cut beyond the state, which then waits for a snapshot or a peer.
-    pub searches: bool,
+    pub searching: bool,
 }
 
 impl Status {
@@ -25,7 +25,7 @@
         let membership = self.state.as_ref().map(|state| &state.membership);
         let present = membership.map_or(0, |membership| membership.members.len());
         let gone = membership.map_or(0, |membership| membership.departures.len());
-        self.most = self.most.max(present).max(gone);
+        self.max_agents = self.max_agents.max(present).max(gone);
     }
 
     /// The offset of the first record not yet folded in; 0 without a state.
--- a/crates/cassiarock-platform/src/follow/task.rs
+++ b/crates/cassiarock-platform/src/follow/task.rs
@@ -54,7 +54,7 @@
     poll: Duration,
 ) -> Result<Vec<Outcome>, Error> {
     tokio::time::sleep_until(ready_at).await;
-    if reader.is_current() || reader.searches() {
+    if reader.is_current() || reader.is_searching() {
         return reader.step(poll).await;
     }
     reader.catch_up().await.map(|()| Vec::new())
@@ -64,7 +64,7 @@
 fn measure(status: &Status) {
     let flag = |set| if set { 1.0 } else { 0.0 };
     metrics::gauge!("cassiarock_log_reachable").set(flag(status.reachable));
-    metrics::gauge!("cassiarock_log_searches").set(flag(status.searches));
+    metrics::gauge!("cassiarock_log_searches").set(flag(status.searching));
     let Some(state) = &status.state else {
         return;
     };
@@ -108,8 +108,8 @@
             state: status.state.clone(),
             reachable: answered.unwrap_or(status.reachable),
             current: reader.is_current(),
-            most: status.most,
-            searches: reader.searches(),
+            max_agents: status.max_agents,
+            searching: reader.is_searching(),
         };
         if status.state.is_none() || next > known {
             fresh.state = reader.state().cloned().map(Arc::new);
@@ -120,7 +120,7 @@
             || fresh.state.is_some() != status.state.is_some()
             || fresh.reachable != status.reachable
             || fresh.current != status.current
-            || fresh.searches != status.searches;
+            || fresh.searching != status.searching;
         *status = fresh;
         changed
     });
--- a/crates/cassiarock-platform/src/neighbour.rs
+++ b/crates/cassiarock-platform/src/neighbour.rs
@@ -78,7 +78,7 @@
             let hasty = asker.status.borrow().state.is_none();
             let mean = if hasty { HASTE } else { PERIOD };
             tokio::time::sleep(mean.mul_f64(0.5 + rand::random::<f64>())).await;
-            let lacks = |status: &crate::follow::Status| !status.reachable || status.searches;
+            let lacks = |status: &crate::follow::Status| !status.reachable || status.searching;
             let known = match asker.status.wait_for(lacks).await {
                 Ok(status) => status.state.as_ref().map(|state| state.next),
                 Err(_) => return,
--- a/crates/cassiarock-platform/src/publish/publisher.rs
+++ b/crates/cassiarock-platform/src/publish/publisher.rs
@@ -76,7 +76,7 @@
 
     async fn refresh(&mut self) -> Result<State, Error> {
         self.reader.catch_up().await?;
-        let state = self.reader.state().filter(|_| !self.reader.searches());
+        let state = self.reader.state().filter(|_| !self.reader.is_searching());
         state.cloned().ok_or_else(|| Error::Cut {
             peer: self.log.peer().into(),
         })
--- a/crates/cassiarock-platform/src/publish/turn.rs
+++ b/crates/cassiarock-platform/src/publish/turn.rs
@@ -23,7 +23,7 @@
 /// ```
 pub async fn turn(status: &mut watch::Receiver<Status>, draw: f64) -> Option<Status> {
     let known = status.wait_for(|status| status.reachable && status.state.is_some());
-    let most = known.await.ok()?.most;
-    tokio::time::sleep(jitter::delay(most, draw)).await;
+    let max_agents = known.await.ok()?.max_agents;
+    tokio::time::sleep(jitter::delay(max_agents, draw)).await;
     Some(status.borrow().clone())
 }
--- a/crates/cassiarock-platform/src/reader.rs
+++ b/crates/cassiarock-platform/src/reader.rs
@@ -55,7 +55,7 @@
 
     /// Whether records were cut that were never read, so that a base is searched.
     #[must_use]
-    pub fn searches(&self) -> bool {
+    pub fn is_searching(&self) -> bool {
         self.fold.as_ref().is_some_and(Fold::is_searching)
     }
 
--- a/crates/cassiarock-platform/tests/follow.rs
+++ b/crates/cassiarock-platform/tests/follow.rs
@@ -155,7 +155,7 @@
     stand.cut(2);
     append(&stand, stalled);
     let fresh = Follower::start(log(&stand));
-    let status = wait(&fresh, |status| status.searches).await;
+    let status = wait(&fresh, |status| status.searching).await;
     assert!(status.state.is_none());
     let by = "running";
     let retention = Duration::from_millis(400);
@@ -177,7 +177,7 @@
     let peer = read(&stand).await;
     stand.cut(2);
     paused.catch_up().await.unwrap();
-    assert!(paused.searches() && !paused.is_current());
+    assert!(paused.is_searching() && !paused.is_current());
     assert_eq!(paused.state().map(|state| state.next), Some(1));
     assert!(paused.offer(peer.state().cloned().unwrap()));
     assert!(paused.is_current());
