--- a/crates/cassiarock-agent/src/announce.rs
+++ b/crates/cassiarock-agent/src/announce.rs
@@ -23,7 +23,7 @@
         if status.wait_for(absent).await.is_err() {
             return;
         }
-        let Some(known) = publish::turn(&mut status, rand::random()).await else {
+        let Some(known) = publish::wait_for_turn(&mut status, rand::random()).await else {
             return;
         };
         if !absent(&known) {
@@ -41,7 +41,7 @@
             }
             Err(error) => {
                 log::warn!(agent:% = member.process; "cannot announce that the agent joins: {error}");
-                tokio::time::sleep(backoff.fail(rand::random())).await;
+                tokio::time::sleep(backoff.record_failure(rand::random())).await;
             }
         }
     }
@@ -77,7 +77,7 @@
 pub(crate) async fn wait_for_turn(follower: &Follower) {
     if follower.status().reachable {
         let mut status = follower.subscribe();
-        let turn = publish::turn(&mut status, rand::random());
+        let turn = publish::wait_for_turn(&mut status, rand::random());
         let _ = tokio::time::timeout(APPEND_TIMEOUT, turn).await;
     }
 }
--- a/crates/cassiarock-dispatch/src/directory.rs
+++ b/crates/cassiarock-dispatch/src/directory.rs
@@ -68,7 +68,7 @@
             // The append may have taken effect. A second record of the same key does no harm.
             Err(error) => {
                 log::warn!("cannot announce this entry: {error}");
-                tokio::time::sleep(backoff.fail(rand::random())).await;
+                tokio::time::sleep(backoff.record_failure(rand::random())).await;
             }
         }
     }
@@ -176,7 +176,7 @@
     loop {
         let pause = match store.read_newest(ENTRIES).await {
             Ok((records, end)) => {
-                backoff.succeed();
+                backoff.record_success();
                 let update = Update::full(end, records.iter().map(endpoint));
                 let is_empty = update.present.is_empty();
                 if inputs.send(Input::Directory(update)).await.is_err() {
@@ -190,7 +190,7 @@
             }
             Err(error) => {
                 log::warn!(dependency = "store", topic = TOPIC; "lost: {error}");
-                backoff.fail(rand::random())
+                backoff.record_failure(rand::random())
             }
         };
         // Spreads the reads: with a data centre's network, all agents lose their links at once.
--- a/crates/cassiarock-dispatch/src/follow.rs
+++ b/crates/cassiarock-dispatch/src/follow.rs
@@ -51,7 +51,7 @@
         match read_once(&store, subscription, next, &mut on_event).await {
             Ok(end) => {
                 next = end;
-                backoff.succeed();
+                backoff.record_success();
                 if let Some(since) = lost_since.take() {
                     let away_ms = since.elapsed().as_millis() as u64;
                     log::info!(dependency = "store", topic = topic, away_ms = away_ms; "regained");
@@ -63,7 +63,7 @@
                     log::warn!(dependency = "store", topic = topic; "lost: {error}");
                 }
                 metrics::counter!("cassiarock_store_errors_total", "topic" => topic).increment(1);
-                let wait = backoff.fail(rand::random());
+                let wait = backoff.record_failure(rand::random());
                 tokio::time::sleep(wait.min(MAX_RETRY_PAUSE)).await;
             }
         }
--- a/crates/cassiarock-entry/src/remove.rs
+++ b/crates/cassiarock-entry/src/remove.rs
@@ -19,7 +19,7 @@
     agent: &Process,
 ) -> Result<(), Error> {
     let mut status = follower.subscribe();
-    let Some(known) = publish::turn(&mut status, rand::random()).await else {
+    let Some(known) = publish::wait_for_turn(&mut status, rand::random()).await else {
         return Ok(());
     };
     let Some(state) = &known.state else {
--- a/crates/cassiarock-operator/src/run/platform.rs
+++ b/crates/cassiarock-operator/src/run/platform.rs
@@ -38,7 +38,7 @@
         let publisher = Publisher::new(log.clone(), operator.clone());
         Ok(Self {
             log,
-            publisher: publisher.with_patience(settings.wait),
+            publisher: publisher.with_time_limit(settings.wait),
             operator,
             patience: settings.wait,
             peer: settings.log.clone(),
--- a/crates/cassiarock-platform/examples/state/recovery.rs
+++ b/crates/cassiarock-platform/examples/state/recovery.rs
@@ -44,7 +44,7 @@
 async fn announce(log: Log, index: u32) {
     let follower = Follower::start(log.clone());
     let mut status = follower.subscribe();
-    let Some(known) = publish::turn(&mut status, rand::random()).await else {
+    let Some(known) = publish::wait_for_turn(&mut status, rand::random()).await else {
         return;
     };
     let joined = publish::append(&log, &sample::join(index, 1), known.next(), PATIENCE).await;
--- a/crates/cassiarock-platform/src/batch.rs
+++ b/crates/cassiarock-platform/src/batch.rs
@@ -2,7 +2,7 @@
 
 /// One record as it lies on the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Item {
+pub struct LogRecord {
     /// Its offset.
     pub offset: u64,
     /// Its bytes.
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Batch {
     /// The records, beginning at the asked offset or, if that was cut, at `earliest`.
-    pub records: Vec<Item>,
+    pub records: Vec<LogRecord>,
     /// The offset of the first kept record.
     pub earliest: u64,
     /// The offset that the next append gets.
--- a/crates/cassiarock-platform/src/follow/backoff.rs
+++ b/crates/cassiarock-platform/src/follow/backoff.rs
@@ -35,7 +35,7 @@
     ///
     /// ```
     /// use cassiarock_platform::follow::Backoff;
-    /// assert!(Backoff::new(1000).fail(1.0) > Backoff::new(11).fail(1.0));
+    /// assert!(Backoff::new(1000).record_failure(1.0) > Backoff::new(11).record_failure(1.0));
     /// ```
     #[must_use]
     pub fn new(processes: usize) -> Self {
@@ -52,10 +52,10 @@
     /// ```
     /// use cassiarock_platform::follow::Backoff;
     /// let mut backoff = Backoff::default();
-    /// let first = backoff.fail(0.5);
-    /// assert!(backoff.fail(0.5) > first);
+    /// let first = backoff.record_failure(0.5);
+    /// assert!(backoff.record_failure(0.5) > first);
     /// ```
-    pub fn fail(&mut self, draw: f64) -> Duration {
+    pub fn record_failure(&mut self, draw: f64) -> Duration {
         let draw = draw.clamp(0.0, 1.0);
         let share = if self.failures == 0 {
             draw
@@ -68,7 +68,7 @@
     }
 
     /// Notes a success.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
--- a/crates/cassiarock-platform/src/follow/task.rs
+++ b/crates/cassiarock-platform/src/follow/task.rs
@@ -30,7 +30,7 @@
         ready_at = Instant::now();
         match &result {
             Ok(outcomes) => {
-                backoff.succeed();
+                backoff.record_success();
                 outcomes.iter().for_each(note);
                 if !outcomes.is_empty() {
                     ready_at += pace(size(&reader), rand::random());
@@ -38,7 +38,7 @@
             }
             Err(error) => {
                 backoff = backoff.with_processes(size(&reader));
-                let wait = backoff.fail(rand::random());
+                let wait = backoff.record_failure(rand::random());
                 let retry_in_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
                 log::warn!(retry_in_ms = retry_in_ms; "log: {error}");
                 ready_at += wait;
--- a/crates/cassiarock-platform/src/log.rs
+++ b/crates/cassiarock-platform/src/log.rs
@@ -1,6 +1,6 @@
 //! The product's own records on the platform's store.
 
-use crate::batch::{Batch, Item};
+use crate::batch::{Batch, LogRecord};
 use crate::error::Error;
 use cassiarock_adapter::Store;
 use cassiarock_adapter::store::Partition;
@@ -118,7 +118,7 @@
         let records = (from..).zip(batch.records);
         Ok(Batch {
             records: records
-                .map(|(offset, bytes)| Item { offset, bytes })
+                .map(|(offset, bytes)| LogRecord { offset, bytes })
                 .collect(),
             earliest: batch.earliest,
             end: batch.end,
--- a/crates/cassiarock-platform/src/publish/append.rs
+++ b/crates/cassiarock-platform/src/publish/append.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Appends `record` and gives the offset of a copy of it on the log, trying for `patience`.
+/// Appends `record` and gives the offset of a copy of it on the log, trying for `time_limit`.
 /// `from` is an offset at or below which the log ended before the first try.
 ///
 /// After an answer was lost, the log is read back for the record's id. A record that is not
@@ -35,10 +35,10 @@
     log: &Log,
     record: &Record,
     from: u64,
-    patience: Duration,
+    time_limit: Duration,
 ) -> Result<u64, Error> {
     let bytes = record.encode()?;
-    let deadline = Instant::now() + patience;
+    let deadline = Instant::now() + time_limit;
     let mut backoff = Backoff::default();
     let mut unsure = false;
     loop {
@@ -50,7 +50,7 @@
         if unsure && let Ok(Some(offset)) = find(log, record, from).await {
             return Ok(offset);
         }
-        let retry_at = Instant::now() + backoff.fail(rand::random());
+        let retry_at = Instant::now() + backoff.record_failure(rand::random());
         if retry_at >= deadline {
             return Err(unsettled(record, unsure, error));
         }
--- a/crates/cassiarock-platform/src/publish/mod.rs
+++ b/crates/cassiarock-platform/src/publish/mod.rs
@@ -6,4 +6,4 @@
 
 pub use append::append;
 pub use publisher::{Answer, Publisher};
-pub use turn::turn;
+pub use turn::wait_for_turn;
--- a/crates/cassiarock-platform/src/publish/publisher.rs
+++ b/crates/cassiarock-platform/src/publish/publisher.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// How long an operator's command tries before it gives up on the log.
-const PATIENCE: Duration = Duration::from_secs(15);
+const TIME_LIMIT: Duration = Duration::from_secs(15);
 /// How long a read for the published record waits at a time.
 const WAIT: Duration = Duration::from_secs(1);
 
@@ -42,7 +42,7 @@
     log: Log,
     reader: Reader,
     by: Name,
-    patience: Duration,
+    time_limit: Duration,
     /// What the operator was last shown, for the difference told to the loser of a race.
     shown: State,
 }
@@ -54,15 +54,15 @@
             reader: Reader::new(log.clone()),
             log,
             by: by.into(),
-            patience: PATIENCE,
+            time_limit: TIME_LIMIT,
             shown: State::default(),
         }
     }
 
     /// The same with another limit on the time that one change may take.
     #[must_use]
-    pub fn with_patience(self, patience: Duration) -> Self {
-        Self { patience, ..self }
+    pub fn with_time_limit(self, time_limit: Duration) -> Self {
+        Self { time_limit, ..self }
     }
 
     /// Reads to the end of the log and gives the state there.
@@ -169,12 +169,12 @@
         self.refresh().await?;
         let record = Record::new(Wall::now(), self.by.clone(), body);
         let from = self.reader.end();
-        append(&self.log, &record, from, self.patience).await?;
+        append(&self.log, &record, from, self.time_limit).await?;
         self.await_effect(record.id).await
     }
 
     async fn await_effect(&mut self, id: Id) -> Result<Answer, Error> {
-        let deadline = tokio::time::Instant::now() + self.patience;
+        let deadline = tokio::time::Instant::now() + self.time_limit;
         loop {
             let error = match self.reader.step(WAIT).await {
                 Ok(outcomes) => {
--- a/crates/cassiarock-platform/src/publish/turn.rs
+++ b/crates/cassiarock-platform/src/publish/turn.rs
@@ -16,12 +16,12 @@
 /// # tokio::runtime::Runtime::new()?.block_on(async {
 /// # let stand = cassiarock_test_support::log::Stand::start().await?;
 /// let follower = Follower::start(Log::new(stand.url())?);
-/// let status = publish::turn(&mut follower.subscribe(), 0.5).await;
+/// let status = publish::wait_for_turn(&mut follower.subscribe(), 0.5).await;
 /// assert!(status.is_some_and(|status| status.reachable));
 /// # Ok::<_, Box<dyn std::error::Error>>(()) })?;
 /// # Ok::<_, Box<dyn std::error::Error>>(())
 /// ```
-pub async fn turn(status: &mut watch::Receiver<Status>, draw: f64) -> Option<Status> {
+pub async fn wait_for_turn(status: &mut watch::Receiver<Status>, draw: f64) -> Option<Status> {
     let known = status.wait_for(|status| status.reachable && status.state.is_some());
     let max_agents = known.await.ok()?.max_agents;
     tokio::time::sleep(jitter::delay(max_agents, draw)).await;
--- a/crates/cassiarock-platform/tests/publish.rs
+++ b/crates/cassiarock-platform/tests/publish.rs
@@ -13,7 +13,7 @@
 
 fn publisher(stand: &Stand, by: &str) -> Publisher {
     let log = Log::new(stand.url()).expect("an HTTP client");
-    Publisher::new(log.with_timeout(CALL), by).with_patience(PATIENCE)
+    Publisher::new(log.with_timeout(CALL), by).with_time_limit(PATIENCE)
 }
 
 fn insert(name: &str) -> Vec<Edit> {
@@ -141,7 +141,7 @@
 #[tokio::test]
 async fn a_change_that_cannot_be_settled_is_called_so() {
     let stand = Stand::start().await.unwrap();
-    let mut publisher = publisher(&stand, "ana").with_patience(Duration::from_millis(700));
+    let mut publisher = publisher(&stand, "ana").with_time_limit(Duration::from_millis(700));
     publisher.state().await.unwrap();
     let handle = cassiarock_test_support::log::Handle::clone(&stand);
     stand.with_fault(|fault| fault.lost_answers = 1);
--- a/crates/cassiarock-platform/tests/spread.rs
+++ b/crates/cassiarock-platform/tests/spread.rs
@@ -37,9 +37,9 @@
     let mut random = StdRng::seed_from_u64(7);
     let one = |_| {
         let mut backoff = Backoff::new(processes);
-        let mut calls = vec![backoff.fail(random.random())];
+        let mut calls = vec![backoff.record_failure(random.random())];
         while let Some(last) = calls.last().filter(|last| **last < back) {
-            calls.push(*last + backoff.fail(random.random()));
+            calls.push(*last + backoff.record_failure(random.random()));
         }
         calls
     };
--- a/crates/cassiarock-platform/tests/turn.rs
+++ b/crates/cassiarock-platform/tests/turn.rs
@@ -39,6 +39,6 @@
     let emptied = status.wait_for(|status| status.next() == AGENTS + 1).await;
     assert_eq!(emptied.unwrap().max_agents, 400);
     let start = Instant::now();
-    publish::turn(&mut status, 0.25).await.unwrap();
+    publish::wait_for_turn(&mut status, 0.25).await.unwrap();
     assert!(start.elapsed() >= Duration::from_millis(500));
 }
