--- a/crates/cassiarock-platform/src/follow/status.rs
+++ b/crates/cassiarock-platform/src/follow/status.rs
@@ -1,9 +1,9 @@
-//! What a follower knows.
+//! The status of a follower.
 
 use cassiarock_rule::State;
 use std::sync::Arc;
 
-/// The state and how well it is known.
+/// The newest state and how current it is.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
     /// The newest state; none until the log or a peer gave one.
@@ -15,13 +15,14 @@
     /// The most agents that this process has seen, present or gone: as many may announce
     /// themselves at once, also when a restore has emptied the membership.
     pub max_agents: usize,
-    /// Whether the log was cut beyond the state, which then waits for a snapshot or a peer.
+    /// Whether retention deleted records after the state that were never read; the follower then
+    /// waits for a snapshot or a peer's state.
     pub searching: bool,
 }
 
 impl Status {
-    /// Notes how many agents the state holds.
-    pub(super) fn count(&mut self) {
+    /// Raises `max_agents` to the number of agents in the state.
+    pub(super) fn update_max_agents(&mut self) {
         let membership = self.state.as_ref().map(|state| &state.membership);
         let present = membership.map_or(0, |membership| membership.members.len());
         let gone = membership.map_or(0, |membership| membership.departures.len());
--- a/crates/cassiarock-platform/src/follow/task.rs
+++ b/crates/cassiarock-platform/src/follow/task.rs
@@ -1,4 +1,4 @@
-//! The loop of the follower.
+//! The main loop of a follower.
 
 use super::{Backoff, Status, pace};
 use crate::reader::Outcome;
@@ -31,13 +31,13 @@
         match &result {
             Ok(outcomes) => {
                 backoff.record_success();
-                outcomes.iter().for_each(note);
+                outcomes.iter().for_each(report_effect);
                 if !outcomes.is_empty() {
-                    ready_at += pace(size(&reader), rand::random());
+                    ready_at += pace(agent_count(&reader), rand::random());
                 }
             }
             Err(error) => {
-                backoff = backoff.with_processes(size(&reader));
+                backoff = backoff.with_processes(agent_count(&reader));
                 let wait = backoff.record_failure(rand::random());
                 let retry_in_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
                 log::warn!(retry_in_ms = retry_in_ms; "log: {error}");
@@ -60,8 +60,8 @@
     reader.catch_up().await.map(|()| Vec::new())
 }
 
-/// Shows the status to the operators' monitoring.
-fn measure(status: &Status) {
+/// Exports the status as metrics.
+fn export_metrics(status: &Status) {
     let flag = |set| if set { 1.0 } else { 0.0 };
     metrics::gauge!("cassiarock_log_reachable").set(flag(status.reachable));
     metrics::gauge!("cassiarock_log_searches").set(flag(status.searching));
@@ -73,8 +73,8 @@
     metrics::gauge!("cassiarock_members").set(state.membership.members.len() as f64);
 }
 
-/// Tells what a record did.
-fn note(outcome: &Outcome) {
+/// Logs and counts the effect of a record.
+fn report_effect(outcome: &Outcome) {
     let offset = outcome.offset;
     let id = outcome.id.map(|id| id.to_string()).unwrap_or_default();
     let effect = match &outcome.effect {
@@ -93,13 +93,14 @@
     metrics::counter!("cassiarock_records_total", "effect" => effect).increment(1);
 }
 
-/// How many processes lose the log together, as far as known: the agents.
-fn size(reader: &Reader) -> usize {
+/// The number of agents in the state: the processes that would lose the log at the same time.
+fn agent_count(reader: &Reader) -> usize {
     let state = reader.state();
     state.map_or(0, |state| state.membership.members.len())
 }
 
-/// Shows what the reader knows; `answered` tells how the log's last call went.
+/// Publishes the reader's status; `answered` is whether the log answered the last call, or
+/// `None` if no call was made.
 fn publish(status: &watch::Sender<Status>, reader: &Reader, answered: Option<bool>) {
     status.send_if_modified(|status| {
         let known = status.next();
@@ -114,8 +115,8 @@
         if status.state.is_none() || next > known {
             fresh.state = reader.state().cloned().map(Arc::new);
         }
-        fresh.count();
-        measure(&fresh);
+        fresh.update_max_agents();
+        export_metrics(&fresh);
         let changed = fresh.next() != known
             || fresh.state.is_some() != status.state.is_some()
             || fresh.reachable != status.reachable
--- a/crates/cassiarock-platform/src/publish/append.rs
+++ b/crates/cassiarock-platform/src/publish/append.rs
@@ -1,4 +1,4 @@
-//! One append, settled.
+//! Appends a record and resolves lost answers.
 
 use crate::follow::Backoff;
 use crate::{Error, Log};
@@ -9,9 +9,9 @@
 /// Appends `record` and gives the offset of a copy of it on the log, trying for `time_limit`.
 /// `from` is an offset at or below which the log ended before the first try.
 ///
-/// After an answer was lost, the log is read back for the record's id. A record that is not
-/// found may still come, when the log is slow; so it is appended again under the same id, of
-/// which the fold counts the first copy alone.
+/// After an answer was lost, the log is read back for the record's id. A slow log may
+/// still append a record that is not found. The record is therefore appended again under the same
+/// id, and the fold counts only the first copy.
 ///
 /// ```
 /// # use cassiarock_platform::{Log, publish};
@@ -40,26 +40,26 @@
     let bytes = record.encode()?;
     let deadline = Instant::now() + time_limit;
     let mut backoff = Backoff::default();
-    let mut unsure = false;
+    let mut maybe_appended = false;
     loop {
         let error = match log.append(bytes.clone()).await {
             Ok(offset) => return Ok(offset),
             Err(error) => error,
         };
-        unsure |= !error.is_without_effect();
-        if unsure && let Ok(Some(offset)) = find(log, record, from).await {
+        maybe_appended |= !error.is_without_effect();
+        if maybe_appended && let Ok(Some(offset)) = find(log, record, from).await {
             return Ok(offset);
         }
         let retry_at = Instant::now() + backoff.record_failure(rand::random());
         if retry_at >= deadline {
-            return Err(unsettled(record, unsure, error));
+            return Err(append_error(record, maybe_appended, error));
         }
         tokio::time::sleep_until(retry_at).await;
     }
 }
 
-fn unsettled(record: &Record, unsure: bool, error: Error) -> Error {
-    if !unsure {
+fn append_error(record: &Record, maybe_appended: bool, error: Error) -> Error {
+    if !maybe_appended {
         return error;
     }
     Error::Unsettled {
--- a/crates/cassiarock-platform/src/publish/mod.rs
+++ b/crates/cassiarock-platform/src/publish/mod.rs
@@ -1,4 +1,4 @@
-//! Appending records so that a lost answer yields neither a second change nor a false failure.
+//! Appends records so that a lost answer causes neither a duplicate change nor a false failure.
 
 mod append;
 mod publisher;
--- a/crates/cassiarock-platform/src/publish/publisher.rs
+++ b/crates/cassiarock-platform/src/publish/publisher.rs
@@ -1,4 +1,4 @@
-//! Publishing an operator's change and learning what became of it.
+//! Publishes an operator's changes and reports their effect.
 
 use super::append;
 use crate::reader::Outcome;
@@ -9,30 +9,30 @@
 use cassiarock_rule::{Configuration, Difference, Edit, Effect, Record, State, check};
 use std::time::Duration;
 
-/// How long an operator's command tries before it gives up on the log.
+/// Time limit of an operator's command for one change.
 const TIME_LIMIT: Duration = Duration::from_secs(15);
 /// How long a read for the published record waits at a time.
 const WAIT: Duration = Duration::from_secs(1);
 
-/// What became of a change.
+/// The effect of a published change.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// It counts. For rules and configuration it made this version; for all records this is
+    /// The change is in force. For rules and configuration it made this version; for all records this is
     /// what a process must have folded in (`State::next`) to have the change in force.
     Accepted {
         /// One more than the offset of the record.
         version: u64,
     },
-    /// It does not count, because another change came first or it does not fit.
+    /// The change has no effect, because another change came first or it is invalid.
     Rejected {
         /// Why.
         reason: Reason,
-        /// What others changed since this publisher last gave its state.
+        /// What others changed since this publisher last returned its state.
         difference: Difference,
-        /// The state that it met.
+        /// The state against which it was checked.
         state: Box<State>,
     },
-    /// It asks for what was already so.
+    /// The change asks for what is already in force.
     Unchanged,
 }
 
@@ -43,7 +43,7 @@
     reader: Reader,
     by: Name,
     time_limit: Duration,
-    /// What the operator was last shown, for the difference told to the loser of a race.
+    /// The state last returned to the operator; the base of the difference in a rejection.
     shown: State,
 }
 
@@ -82,7 +82,7 @@
         })
     }
 
-    /// Changes the rules from what they were at version `based_on`. Rules that cannot be right
+    /// Changes the rules from what they were at version `based_on`. Invalid rules
     /// are rejected before anything is appended.
     ///
     /// ```
@@ -112,13 +112,13 @@
         };
         let problems = check::rule_set(&set, &state.configuration);
         if !problems.is_empty() {
-            return Ok(self.rejected(wrong(&problems), state));
+            return Ok(self.rejected(invalid(&problems), state));
         }
         self.publish(Body::Rules { based_on, edits }).await
     }
 
-    /// Replaces the configuration that was at version `based_on`. One that cannot be right, or
-    /// under which the rules cannot be, is rejected before anything is appended.
+    /// Replaces the configuration that was at version `based_on`. One that is invalid, or
+    /// makes the rules invalid, is rejected before anything is appended.
     ///
     /// # Errors
     /// If the log fails; see [`append`].
@@ -133,7 +133,7 @@
         }
         let problems = check::configuration(&configuration, &state.rules);
         if !problems.is_empty() {
-            return Ok(self.rejected(wrong(&problems), state));
+            return Ok(self.rejected(invalid(&problems), state));
         }
         let body = Body::Configuration {
             based_on,
@@ -161,7 +161,7 @@
         self.publish(body).await
     }
 
-    /// Appends a record and reads on until its first copy shows what became of it.
+    /// Appends a record and reads the log until the effect of its first copy is known.
     ///
     /// # Errors
     /// If the log fails; see [`append`].
@@ -187,7 +187,7 @@
                 Err(error) => Some(error),
             };
             if tokio::time::Instant::now() >= deadline {
-                return Err(self.lost_sight(id, error));
+                return Err(self.unsettled(id, error));
             }
         }
     }
@@ -213,7 +213,7 @@
         }
     }
 
-    fn lost_sight(&self, id: Id, error: Option<Error>) -> Error {
+    fn unsettled(&self, id: Id, error: Option<Error>) -> Error {
         let source = error.unwrap_or_else(|| Error::Cut {
             peer: self.log.peer().into(),
         });
@@ -224,6 +224,6 @@
     }
 }
 
-fn wrong(problems: &[impl ToString]) -> Reason {
+fn invalid(problems: &[impl ToString]) -> Reason {
     Reason::Invalid(problems.iter().map(ToString::to_string).collect())
 }
--- a/crates/cassiarock-platform/src/reader.rs
+++ b/crates/cassiarock-platform/src/reader.rs
@@ -1,27 +1,27 @@
-//! Reading the log into a fold.
+//! Reads the log into a [`Fold`].
 
 use crate::{Batch, Error, Log};
 use cassiarock_rule::record::Id;
 use cassiarock_rule::{Effect, Fold, Record, State};
 use std::time::Duration;
 
-/// How many records before the end a new reader looks at first. With a snapshot among them it
-/// is done; else it looks at four times as many, so a long log costs at most a third more.
+/// How many records before the end a new reader reads first. If they hold no usable snapshot, it
+/// reads a window four times as long, so a long log costs at most a third more.
 const WINDOW: u64 = 1024;
 const WINDOW_GROWTH: u64 = 4;
 
-/// What was read at one offset.
+/// The effect of the record at one offset.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Outcome {
     /// The offset.
     pub offset: u64,
-    /// The record's id, if it is a record.
+    /// The record's id, if the bytes could be decoded.
     pub id: Option<Id>,
-    /// Its effect; unknown while a base is searched.
+    /// Its effect; unknown while the fold searches for a base snapshot.
     pub effect: Option<Effect>,
 }
 
-/// Reads a log from wherever its fold stands.
+/// Reads a log from the next offset of its fold.
 #[derive(Clone, Debug)]
 pub struct Reader {
     log: Log,
@@ -30,7 +30,7 @@
 }
 
 impl Reader {
-    /// A reader that knows nothing yet.
+    /// A reader without a state.
     #[must_use]
     pub fn new(log: Log) -> Self {
         Self {
@@ -53,7 +53,8 @@
         fold.is_some_and(|fold| !fold.is_searching() && fold.next_offset() >= self.end)
     }
 
-    /// Whether records were cut that were never read, so that a base is searched.
+    /// Whether retention deleted records before they were read, so that the reader searches for a
+    /// base snapshot.
     #[must_use]
     pub fn is_searching(&self) -> bool {
         self.fold.as_ref().is_some_and(Fold::is_searching)
@@ -65,7 +66,7 @@
         self.end
     }
 
-    /// Takes the state of another process if it is newer; tells whether it was.
+    /// Takes the state of another process if it is newer, and returns whether it was.
     pub fn offer(&mut self, state: State) -> bool {
         match &mut self.fold {
             Some(fold) => fold.offer(state),
@@ -76,10 +77,10 @@
         }
     }
 
-    /// Reads to the end of the log, for a start quickly from its newest snapshot.
+    /// Reads to the end of the log. The first call starts from the newest usable snapshot.
     ///
     /// # Errors
-    /// If the log fails; what was learned is kept.
+    /// If the log fails; the records read so far stay applied.
     pub async fn catch_up(&mut self) -> Result<(), Error> {
         if self.fold.is_none() {
             self.open().await?;
@@ -87,10 +88,10 @@
         self.read_to_end().await
     }
 
-    /// Reads once, waiting up to `wait` for a first record.
+    /// Makes one read, which waits up to `wait` for a first record.
     ///
     /// # Errors
-    /// If the log fails; what was learned is kept.
+    /// If the log fails; the records read so far stay applied.
     pub async fn step(&mut self, wait: Duration) -> Result<Vec<Outcome>, Error> {
         if self.fold.is_none() {
             self.open().await?;
@@ -100,24 +101,24 @@
         };
         let batch = self.log.read(fold.next_offset(), wait).await?;
         self.end = batch.end;
-        take(&self.log, fold, batch)
+        apply(&self.log, fold, batch)
     }
 
-    /// Finds the place to begin at: the start of the log, or a window at its end that holds a
-    /// usable snapshot, or the widest window there is.
+    /// Picks the offset to start from: the smallest window at the end of the log that holds a
+    /// usable snapshot, else the start of the log.
     async fn open(&mut self) -> Result<(), Error> {
         let edges = self.log.edges().await?;
         let mut window = WINDOW;
         loop {
             let first = edges.end.saturating_sub(window).max(edges.earliest);
-            let mut tried = Self {
+            let mut candidate = Self {
                 log: self.log.clone(),
                 fold: Some(Fold::new(first)),
                 end: edges.end,
             };
-            tried.read_to_end().await?;
-            if tried.state().is_some() || first <= edges.earliest {
-                *self = tried;
+            candidate.read_to_end().await?;
+            if candidate.state().is_some() || first <= edges.earliest {
+                *self = candidate;
                 return Ok(());
             }
             window = window.saturating_mul(WINDOW_GROWTH);
@@ -131,7 +132,7 @@
             };
             let batch = self.log.read(fold.next_offset(), Duration::ZERO).await?;
             self.end = batch.end;
-            take(&self.log, fold, batch)?;
+            apply(&self.log, fold, batch)?;
             if fold.next_offset() >= self.end {
                 return Ok(());
             }
@@ -139,7 +140,7 @@
     }
 }
 
-fn take(log: &Log, fold: &mut Fold, batch: Batch) -> Result<Vec<Outcome>, Error> {
+fn apply(log: &Log, fold: &mut Fold, batch: Batch) -> Result<Vec<Outcome>, Error> {
     if batch.end < fold.next_offset() {
         return Err(Error::Regressed {
             peer: log.peer().into(),
@@ -148,12 +149,12 @@
         });
     }
     fold.set_log_start(batch.earliest);
-    let outcomes = batch.records.into_iter().map(|item| {
-        let record = Record::decode(&item.bytes).ok();
+    let outcomes = batch.records.into_iter().map(|entry| {
+        let record = Record::decode(&entry.bytes).ok();
         Outcome {
-            offset: item.offset,
+            offset: entry.offset,
             id: record.as_ref().map(|record| record.id),
-            effect: fold.push(item.offset, record),
+            effect: fold.push(entry.offset, record),
         }
     });
     Ok(outcomes.collect())
