--- a/crates/cassiarock-platform/src/error.rs
+++ b/crates/cassiarock-platform/src/error.rs
@@ -3,11 +3,11 @@
 use cassiarock_rule::record::Id;
 use std::sync::Arc;
 
-/// What went wrong, at which step and with which log.
+/// An error of the log or of its client.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A call failed. Unless [`Error::is_without_effect`], an append may have taken effect or
-    /// may yet: read the log back for the record's id before telling anybody that it failed.
+    /// may yet: read the log back for the record's id before reporting a failure.
     #[error(transparent)]
     Call(#[from] cassiarock_adapter::Error),
     /// The log ends before what was already read from it: it lost records, or is another log.
@@ -21,21 +21,21 @@
         /// The offset to read next.
         next: u64,
     },
-    /// The log has lost records that were never read here, and holds no snapshot that reaches
-    /// to those it still has. Running processes still serve their state and append snapshots;
+    /// Retention deleted records that were never read here, and the log holds no snapshot that covers
+    /// them. Running processes still serve their state and append snapshots;
     /// wait for one, ask a process, or restore.
     #[error("the log at {peer} was cut, and no usable snapshot is on it")]
     Cut {
         /// The log.
         peer: Arc<str>,
     },
-    /// The record may be on the log, or may still come onto it. Ask later for its id; do not
-    /// publish the change anew, but with the same record.
+    /// The record may be on the log, or may still be appended. Look for its id later; to retry,
+    /// append the same record instead of publishing the change as a new one.
     #[error("record {id} may count or not: {source}")]
     Unsettled {
         /// The record's id.
         id: Id,
-        /// Why it is not known.
+        /// The error that left the result unknown.
         source: Box<Self>,
     },
     /// The client of the HTTP library could not be made; the system lacks something it needs.
--- a/crates/cassiarock-platform/src/follow/backoff.rs
+++ b/crates/cassiarock-platform/src/follow/backoff.rs
@@ -1,22 +1,22 @@
-//! How long to wait before the next try.
+//! The wait before the next retry.
 
 use std::time::Duration;
 
 /// The first wait is at most this long in a small system.
 const FIRST: Duration = Duration::from_millis(250);
-/// No wait is longer. A change has to be in force within 17 s, also one that was made while
+/// Upper limit of a wait. A change has to be in force within 17 s, also one that was made while
 /// the log was coming back.
 const LONGEST: Duration = Duration::from_secs(12);
-/// The mean rate of calls that all processes together aim at; with its chance peaks it stays
+/// The mean rate of calls that all processes together aim at; with random peaks it stays
 /// within 300 a second for a thousand processes.
 const RATE: u32 = 250;
 
 /// Waits that double up to a limit, with a random part. Made for thousands of processes that
-/// lose the log at the same moment: without the random part they would all come back in the
-/// same moment as well, again and again, and keep down a log that takes several hundred calls
+/// lose the log at the same moment: without the random part they would all retry at the
+/// same moment as well, again and again, and overload a log that takes several hundred calls
 /// a second.
 ///
-/// The first wait is drawn from the whole of its bound, since all begin together; later ones
+/// The first wait is drawn from the whole of its bound, since all processes start at the same time; later ones
 /// from the upper half, which takes a third off the rate of calls on a log that is down.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Notes a failure and gives the wait before the next try, for a `draw` from 0 up to 1.
+    /// Records a failure and returns the wait before the next try, for a `draw` from 0 up to 1.
     ///
     /// ```
     /// use cassiarock_platform::follow::Backoff;
@@ -67,7 +67,7 @@
         bound.min(LONGEST).mul_f64(share)
     }
 
-    /// Notes a success.
+    /// Resets the wait after a success.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
--- a/crates/cassiarock-platform/src/follow/mod.rs
+++ b/crates/cassiarock-platform/src/follow/mod.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// How many offers of peers may wait; more are dropped, since peers offer again.
+/// How many offers of peers are queued; more are dropped, since peers offer again.
 const OFFERS: usize = 64;
 
 /// Follows a log and takes states from peers; stopped on drop. Its state never goes back: a
@@ -29,7 +29,7 @@
     offers: mpsc::Sender<Arc<State>>,
     task: JoinHandle<()>,
     snapshots: Option<snapshot::Writer>,
-    questions: Option<JoinHandle<()>>,
+    polling: Option<JoinHandle<()>>,
 }
 
 impl Follower {
@@ -56,7 +56,7 @@
             offers,
             task,
             snapshots: None,
-            questions: None,
+            polling: None,
         }
     }
 
@@ -76,26 +76,26 @@
         }
     }
 
-    pub(crate) fn with_questions(mut self, questions: JoinHandle<()>) -> Self {
-        self.questions = Some(questions);
+    pub(crate) fn with_polling(mut self, polling: JoinHandle<()>) -> Self {
+        self.polling = Some(polling);
         self
     }
 
-    /// The status, also of later times.
+    /// A receiver of the status and its changes.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Status> {
         self.status.clone()
     }
 
-    /// The status now.
+    /// The current status.
     #[must_use]
     pub fn status(&self) -> Status {
         self.status.borrow().clone()
     }
 
-    /// Hands in the state of a peer; it is taken if it is newer.
+    /// Offers the state of a peer, which is taken if it is newer.
     pub fn offer(&self, state: Arc<State>) {
-        // Each offer interrupts the read under way, so one that brings nothing must not count:
+        // Each offer interrupts the read under way, so one that is not newer is discarded here:
         // peers that repeat theirs would keep this process from ever reading the log.
         let known = self.status.borrow().state.as_ref().map(|known| known.next);
         if known.is_some_and(|next| next >= state.next) {
@@ -110,8 +110,8 @@
 impl Drop for Follower {
     fn drop(&mut self) {
         self.task.abort();
-        if let Some(questions) = &self.questions {
-            questions.abort();
+        if let Some(polling) = &self.polling {
+            polling.abort();
         }
     }
 }
--- a/crates/cassiarock-platform/src/follow/pace.rs
+++ b/crates/cassiarock-platform/src/follow/pace.rs
@@ -1,4 +1,4 @@
-//! How soon to read again after records came.
+//! The pause between reads while records arrive.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 ///
 /// A record ends the waiting read of every process. When a thousand agents announce themselves
 /// at 200 a second, each of a thousand processes would read 200 times a second. The pause lets
-/// records gather. It comes after a read, not before: a record that comes after a quiet time,
+/// one read return several records. It comes after a read, not before: a record that comes after a quiet time,
 /// such as an order to drain, reaches everyone at once, and any record within 1.5 s at 2,900
 /// processes, which is less than the 2 s that a drain may take.
 ///
--- a/crates/cassiarock-platform/src/lib.rs
+++ b/crates/cassiarock-platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's append-only log: append, read, follow, settle lost answers.
+//! The client of the platform's append-only log: append, read, follow, resolve lost answers.
 
 pub mod batch;
 pub mod error;
--- a/crates/cassiarock-platform/src/log.rs
+++ b/crates/cassiarock-platform/src/log.rs
@@ -6,19 +6,19 @@
 use cassiarock_adapter::store::Partition;
 use std::time::Duration;
 
-/// Where the records lie: one partition, so that all processes read them in one order.
-const PART: Partition<'static> = Partition {
+/// One partition, so that all processes read the records in the same order.
+const PARTITION: Partition<'static> = Partition {
     topic: "cassiarock",
     number: 0,
 };
 
 /// An append takes several milliseconds; three seconds cover a slow spell and still leave time
-/// to settle a lost answer while an operator waits.
+/// to resolve a lost answer while an operator waits.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a follower's read waits for a first record. A connection that went silent is found
-/// out after this time and the call's limit, which leaves 4 s of the 17 s within which a change
-/// must be in force. At 2,900 processes without news it makes 290 reads a second.
+/// How long a follower's read waits for a first record. A silent connection is
+/// detected after this time plus the call's time limit, which leaves 4 s of the 17 s within which a change
+/// must be in force. At 2,900 processes without new records this makes 290 reads a second.
 const POLL: Duration = Duration::from_secs(10);
 
 /// A client of one log; clones share its connections.
@@ -77,17 +77,17 @@
     ///
     /// # Errors
     /// If no good answer came in time; unless [`Error::is_without_effect`], the record may be
-    /// on the log, or may still come onto it.
+    /// on the log, or may still be appended.
     pub async fn append(&self, bytes: impl Into<Vec<u8>>) -> Result<u64, Error> {
-        Ok(self.store.append(PART, &bytes.into(), None).await?)
+        Ok(self.store.append(PARTITION, &bytes.into(), None).await?)
     }
 
-    /// Where the log begins and ends.
+    /// The offsets at which the log begins and ends, without records.
     ///
     /// # Errors
     /// If no good answer came in time.
     pub async fn edges(&self) -> Result<Batch, Error> {
-        let batch = self.read_from(0, Duration::ZERO, EDGE).await?;
+        let batch = self.read_from(0, Duration::ZERO, EDGES_KB).await?;
         Ok(Batch {
             records: Vec::new(),
             ..batch
@@ -100,16 +100,16 @@
     /// # Errors
     /// If no good answer came in time.
     pub async fn read(&self, from: u64, wait: Duration) -> Result<Batch, Error> {
-        self.read_from(from, wait, READ).await
+        self.read_from(from, wait, READ_KB).await
     }
 
-    async fn read_from(&self, from: u64, wait: Duration, most_kb: u32) -> Result<Batch, Error> {
-        let found = self.store.read(PART, from, wait, most_kb).await;
+    async fn read_from(&self, from: u64, wait: Duration, max_kb: u32) -> Result<Batch, Error> {
+        let found = self.store.read(PARTITION, from, wait, max_kb).await;
         let (from, batch) = match found {
             Ok(batch) => (from, batch),
             Err(error) => match error.first_kept() {
                 Some(first) => {
-                    let batch = self.store.read(PART, first, wait, most_kb).await?;
+                    let batch = self.store.read(PARTITION, first, wait, max_kb).await?;
                     (first, batch)
                 }
                 None => return Err(error.into()),
@@ -126,8 +126,8 @@
     }
 }
 
-/// The KB asked for in one read.
-const READ: u32 = 1024;
+/// Size limit of one read, in KB.
+const READ_KB: u32 = 1024;
 
-/// The same where only the ends of the log are of interest.
-const EDGE: u32 = 1;
+/// Size limit of a read that needs only the bounds of the log, in KB.
+const EDGES_KB: u32 = 1;
--- a/crates/cassiarock-platform/src/neighbour.rs
+++ b/crates/cassiarock-platform/src/neighbour.rs
@@ -1,4 +1,4 @@
-//! Learning the state from other processes while the log does not give it.
+//! Fetches the state from other processes while the log is unavailable.
 
 use crate::{Error, Follower};
 use cassiarock_rule::State;
@@ -7,18 +7,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A neighbour answers in a millisecond; its VM may be gone.
+/// A neighbour answers in a millisecond, unless its VM is gone.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest answer taken: a state of 2,900 agents and 1,024 rules has 1 MB.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// The mean time between questions while a state is known. In an outage of the log all of 2,900
-/// processes ask, 580 questions a second over all neighbours, nearly all of them answered by
+/// The size limit of a response body: a state of 2,900 agents and 1,024 rules has 1 MB.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// The mean time between requests while a state is known. In an outage of the log all of 2,900
+/// processes send requests, 580 requests a second over all neighbours, nearly all of them answered by
 /// "nothing newer". A change is in force in a process that is cut off from the log within the
 /// time to notice that, this time, and half of it again: 13 s and 7.5 s at most, and within
 /// 7.5 s where the log refuses connections.
 const PERIOD: Duration = Duration::from_secs(5);
-/// The mean time while no state is known: the process cannot work.
-const HASTE: Duration = Duration::from_secs(1);
+/// The mean time between requests without a state, when the process cannot work.
+const PERIOD_WITHOUT_STATE: Duration = Duration::from_secs(1);
 
 /// Other processes that can be asked for the state, by the base URLs of their monitors.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Asks one of them, drawn at random, for a state whose `next` is above `known`.
+    /// Asks one neighbour, chosen at random, for a state whose `next` is above `known`.
     pub async fn ask(&self, known: Option<u64>) -> Option<State> {
         let url = self.urls.choose(&mut rand::rng())?;
         let after = known.map(|next| format!("?after={next}"));
@@ -65,7 +65,7 @@
         let mut body = Vec::new();
         while let Some(chunk) = response.chunk().await.ok()? {
             body.extend_from_slice(&chunk);
-            if body.len() > ANSWER_BYTES {
+            if body.len() > MAX_BODY_BYTES {
                 return None;
             }
         }
@@ -75,11 +75,16 @@
     /// Asks for as long as the follower runs, whenever it has no state, or may lack records.
     pub(crate) async fn run(self, mut asker: Asker) {
         while !self.urls.is_empty() {
-            let hasty = asker.status.borrow().state.is_none();
-            let mean = if hasty { HASTE } else { PERIOD };
+            let without_state = asker.status.borrow().state.is_none();
+            let mean = if without_state {
+                PERIOD_WITHOUT_STATE
+            } else {
+                PERIOD
+            };
             tokio::time::sleep(mean.mul_f64(0.5 + rand::random::<f64>())).await;
-            let lacks = |status: &crate::follow::Status| !status.reachable || status.searching;
-            let known = match asker.status.wait_for(lacks).await {
+            let may_lack_records =
+                |status: &crate::follow::Status| !status.reachable || status.searching;
+            let known = match asker.status.wait_for(may_lack_records).await {
                 Ok(status) => status.state.as_ref().map(|state| state.next),
                 Err(_) => return,
             };
@@ -91,7 +96,7 @@
     }
 }
 
-/// What the questions need of a follower.
+/// The handles of a follower that the polling of neighbours uses.
 pub(crate) struct Asker {
     pub status: tokio::sync::watch::Receiver<crate::follow::Status>,
     pub offers: tokio::sync::mpsc::Sender<Arc<State>>,
@@ -99,16 +104,17 @@
 
 impl Asker {
     fn offer(&self, state: State) {
-        // A full queue holds other offers; the next question makes up for it.
+        // A full queue holds other offers; the next response replaces this one.
         let _ = self.offers.try_send(Arc::new(state));
     }
 }
 
 impl Follower {
-    /// The same, asking neighbours while the log does not answer or was cut too far.
+    /// The same, asking neighbours while the log does not answer, or after retention deleted
+    /// records that were never read.
     #[must_use]
     pub fn with_neighbours(self, neighbours: Neighbours) -> Self {
         let asker = self.asker();
-        self.with_questions(tokio::spawn(neighbours.run(asker)))
+        self.with_polling(tokio::spawn(neighbours.run(asker)))
     }
 }
--- a/crates/cassiarock-platform/src/publish/turn.rs
+++ b/crates/cassiarock-platform/src/publish/turn.rs
@@ -1,4 +1,4 @@
-//! When an agent may announce something on the log.
+//! Spreads the announcements of agents on the log over time.
 
 use crate::follow::Status;
 use cassiarock_rule::jitter;
@@ -6,7 +6,7 @@
 
 /// Waits until the log answers, and then for this process's turn among all agents that may
 /// have something to announce at the same time; `draw` is a random number from 0 up to 1.
-/// Gives the status then; nothing if the follower has ended.
+/// Returns the status at that time, or `None` if the follower has ended.
 ///
 /// Appending while the log is down would only add calls to it, and appending at once when it
 /// returns would bring a thousand appends in one second; see [`jitter::delay`].
--- a/crates/cassiarock-platform/src/snapshot.rs
+++ b/crates/cassiarock-platform/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! A task that keeps the state on the log by snapshots.
+//! A task that appends snapshots of the state to the log.
 
 use crate::Log;
 use crate::follow::Status;
@@ -11,17 +11,17 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How often the schedule is asked.
+/// How often the schedule is checked.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Writes snapshots; stopped on drop.
+/// Writes snapshots until dropped.
 #[derive(Debug)]
 pub struct Writer {
     task: JoinHandle<()>,
 }
 
 impl Writer {
-    /// Starts to write snapshots of what the follower knows, in the name of the process `by`,
+    /// Starts to write snapshots of the follower's state, in the name of the process `by`,
     /// onto a log that keeps its records for `retention`.
     ///
     /// ```
@@ -72,7 +72,7 @@
     }
 }
 
-/// Appends once: a lost one is made up for by another process, or by the next round here.
+/// Appends once, without a retry: another process or the next period replaces a lost snapshot.
 async fn append(log: &Log, by: &Name, state: &Arc<State>) {
     let covers = state.next;
     let state = Box::new(State::clone(state));
--- a/crates/cassiarock-platform/tests/follow.rs
+++ b/crates/cassiarock-platform/tests/follow.rs
@@ -65,7 +65,7 @@
     assert_eq!(members(&late), 2);
 }
 
-// The log goes down: processes keep what they know, and learn what came later when it is back.
+// The log goes down: processes keep their state, and read later records when it is back.
 #[tokio::test]
 async fn a_follower_keeps_its_state_through_an_outage_and_then_catches_up() {
     let stand = Stand::start().await.unwrap();
@@ -82,7 +82,7 @@
 }
 
 // The connection to the log goes silent for good, though new ones work. A change made then must
-// still arrive: the waiting read is given up and another connection opened.
+// still arrive: the waiting read is abandoned and another connection opened.
 #[tokio::test]
 async fn a_silent_connection_is_given_up_for_a_new_one() {
     let stand = Stand::start().await.unwrap();
@@ -99,7 +99,7 @@
 }
 
 // The whole system is restarted while the log is down. A process learns the state from a peer,
-// does not go back when an older peer speaks, and follows the log when it is back.
+// does not go back when a peer offers an older state, and follows the log when it is back.
 #[tokio::test]
 async fn a_process_that_starts_while_the_log_is_down_learns_from_peers() {
     let stand = Stand::start().await.unwrap();
@@ -141,9 +141,9 @@
     assert_eq!(state.membership.members.len(), 2);
 }
 
-// A process takes a snapshot and stalls. An agent joins, retention cuts that record, and the
+// A process takes a snapshot and stalls. An agent joins, retention deletes that record, and the
 // process appends its snapshot after all. A new process that took it would never give work to
-// the agent; so it waits, until a process that knows it all writes a snapshot.
+// the agent; so it waits, until a process with the full state writes a snapshot.
 #[tokio::test]
 async fn a_stalled_process_that_appends_an_old_snapshot_reverts_nobody() {
     let stand = Stand::start().await.unwrap();
@@ -166,8 +166,8 @@
     assert_eq!(members(&status), 2);
 }
 
-// A paused process is overtaken by retention. It must neither forget what it knows nor call
-// itself current.
+// Retention deletes records that a paused process has not read. It must keep its state and must
+// not report itself as current.
 #[tokio::test]
 async fn a_reader_overtaken_by_retention_says_so_and_is_helped_by_a_peer() {
     let stand = Stand::start().await.unwrap();
--- a/crates/cassiarock-platform/tests/publish.rs
+++ b/crates/cassiarock-platform/tests/publish.rs
@@ -74,7 +74,7 @@
     assert_eq!((version, stand.end()), (1, 1));
 }
 
-// As above, and the log goes down before the answer can be settled; when it is back, the
+// As above, and the log goes down before the result is known; when it is back, the
 // record is found.
 #[tokio::test]
 async fn a_lost_answer_is_settled_after_an_outage() {
@@ -123,7 +123,7 @@
     );
 }
 
-// The log is down before anything is appended: the operator may try again without a doubt.
+// The log is down before anything is appended: the operator may safely retry.
 #[tokio::test]
 async fn a_log_that_is_down_leaves_no_doubt_and_no_record() {
     let stand = Stand::start().await.unwrap();
@@ -137,7 +137,7 @@
 }
 
 // The answer is lost and the log falls silent for good: the operator is told that the change
-// may count, with its id, and not that it failed.
+// may be in force, with its id, and not that it failed.
 #[tokio::test]
 async fn a_change_that_cannot_be_settled_is_called_so() {
     let stand = Stand::start().await.unwrap();
--- a/crates/cassiarock-platform/tests/spread.rs
+++ b/crates/cassiarock-platform/tests/spread.rs
@@ -1,4 +1,4 @@
-//! What the log gets when many processes come back at once. Virtual time, fixed seed.
+//! The load on the log when many processes return at once. Virtual time, fixed seed.
 
 use cassiarock_platform::follow::Backoff;
 use cassiarock_rule::jitter;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// What the log takes in a second.
+/// How many calls the log takes in a second.
 const LOG_RATE: usize = 300;
 
 fn busiest(mut calls: Vec<Duration>) -> usize {
@@ -47,7 +47,7 @@
 }
 
 // The log is down for ten minutes, and every process goes on trying. Neither the calls during
-// the outage nor those that succeed when it is over come at a rate that would keep it down.
+// the outage nor those that succeed when it is over come at a rate that would overload it.
 #[parameterized(a_thousand = { 1_000, LOG_RATE }, all = { 2_900, 2 * LOG_RATE })]
 fn an_outage_and_its_end_are_spread(processes: usize, limit: usize) {
     let calls = calls(processes, Duration::from_secs(600));
--- a/crates/cassiarock-platform/tests/turn.rs
+++ b/crates/cassiarock-platform/tests/turn.rs
@@ -1,4 +1,4 @@
-//! Turns on the log, with agents that return together.
+//! Spreading appends of agents that return together.
 
 use cassiarock_id::{Process, Wall};
 use cassiarock_platform::{Follower, Log, publish};
