--- a/crates/cassiarock-platform/src/follow/status.rs
+++ b/crates/cassiarock-platform/src/follow/status.rs
@@ -1,9 +1,9 @@
-//! What a follower knows.
+//! The status of a follower.
 
 use cassiarock_rule::State;
 use std::sync::Arc;
 
-/// The state and how well it is known.
+/// The newest state and how current it is.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
     /// The newest state; none until the log or a peer gave one.
@@ -14,18 +14,19 @@
     pub current: bool,
     /// The most agents that this process has seen, present or gone: as many may announce
     /// themselves at once, also when a restore has emptied the membership.
-    pub most: usize,
-    /// Whether the log was cut beyond the state, which then waits for a snapshot or a peer.
-    pub searches: bool,
+    pub max_agents: usize,
+    /// Whether retention deleted records after the state that were never read; the follower then
+    /// waits for a snapshot or a peer's state.
+    pub searching: bool,
 }
 
 impl Status {
-    /// Notes how many agents the state holds.
-    pub(super) fn count(&mut self) {
+    /// Raises `max_agents` to the number of agents in the state.
+    pub(super) fn update_max_agents(&mut self) {
         let membership = self.state.as_ref().map(|state| &state.membership);
         let present = membership.map_or(0, |membership| membership.members.len());
         let gone = membership.map_or(0, |membership| membership.departures.len());
-        self.most = self.most.max(present).max(gone);
+        self.max_agents = self.max_agents.max(present).max(gone);
     }
 
     /// The offset of the first record not yet folded in; 0 without a state.
--- a/crates/cassiarock-platform/src/publish/publisher.rs
+++ b/crates/cassiarock-platform/src/publish/publisher.rs
@@ -1,4 +1,4 @@
-//! Publishing an operator's change and learning what became of it.
+//! Publishes an operator's changes and reports their effect.
 
 use super::append;
 use crate::reader::Outcome;
@@ -9,30 +9,30 @@
 use cassiarock_rule::{Configuration, Difference, Edit, Effect, Record, State, check};
 use std::time::Duration;
 
-/// How long an operator's command tries before it gives up on the log.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Time limit of an operator's command for one change.
+const TIME_LIMIT: Duration = Duration::from_secs(15);
 /// How long a read for the published record waits at a time.
 const WAIT: Duration = Duration::from_secs(1);
 
-/// What became of a change.
+/// The effect of a published change.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// It counts. For rules and configuration it made this version; for all records this is
+    /// The change is in force. For rules and configuration it made this version; for all records this is
     /// what a process must have folded in (`State::next`) to have the change in force.
     Accepted {
         /// One more than the offset of the record.
         version: u64,
     },
-    /// It does not count, because another change came first or it does not fit.
+    /// The change has no effect, because another change came first or it is invalid.
     Rejected {
         /// Why.
         reason: Reason,
-        /// What others changed since this publisher last gave its state.
+        /// What others changed since this publisher last returned its state.
         difference: Difference,
-        /// The state that it met.
+        /// The state against which it was checked.
         state: Box<State>,
     },
-    /// It asks for what was already so.
+    /// The change asks for what is already in force.
     Unchanged,
 }
 
@@ -42,8 +42,8 @@
     log: Log,
     reader: Reader,
     by: Name,
-    patience: Duration,
-    /// What the operator was last shown, for the difference told to the loser of a race.
+    time_limit: Duration,
+    /// The state last returned to the operator; the base of the difference in a rejection.
     shown: State,
 }
 
@@ -54,15 +54,15 @@
             reader: Reader::new(log.clone()),
             log,
             by: by.into(),
-            patience: PATIENCE,
+            time_limit: TIME_LIMIT,
             shown: State::default(),
         }
     }
 
     /// The same with another limit on the time that one change may take.
     #[must_use]
-    pub fn with_patience(self, patience: Duration) -> Self {
-        Self { patience, ..self }
+    pub fn with_time_limit(self, time_limit: Duration) -> Self {
+        Self { time_limit, ..self }
     }
 
     /// Reads to the end of the log and gives the state there.
@@ -76,13 +76,13 @@
 
     async fn refresh(&mut self) -> Result<State, Error> {
         self.reader.catch_up().await?;
-        let state = self.reader.state().filter(|_| !self.reader.searches());
+        let state = self.reader.state().filter(|_| !self.reader.is_searching());
         state.cloned().ok_or_else(|| Error::Cut {
             peer: self.log.peer().into(),
         })
     }
 
-    /// Changes the rules from what they were at version `based_on`. Rules that cannot be right
+    /// Changes the rules from what they were at version `based_on`. Invalid rules
     /// are rejected before anything is appended.
     ///
     /// ```
@@ -112,13 +112,13 @@
         };
         let problems = check::rule_set(&set, &state.configuration);
         if !problems.is_empty() {
-            return Ok(self.rejected(wrong(&problems), state));
+            return Ok(self.rejected(invalid(&problems), state));
         }
         self.publish(Body::Rules { based_on, edits }).await
     }
 
-    /// Replaces the configuration that was at version `based_on`. One that cannot be right, or
-    /// under which the rules cannot be, is rejected before anything is appended.
+    /// Replaces the configuration that was at version `based_on`. One that is invalid, or
+    /// makes the rules invalid, is rejected before anything is appended.
     ///
     /// # Errors
     /// If the log fails; see [`append`].
@@ -133,7 +133,7 @@
         }
         let problems = check::configuration(&configuration, &state.rules);
         if !problems.is_empty() {
-            return Ok(self.rejected(wrong(&problems), state));
+            return Ok(self.rejected(invalid(&problems), state));
         }
         let body = Body::Configuration {
             based_on,
@@ -161,7 +161,7 @@
         self.publish(body).await
     }
 
-    /// Appends a record and reads on until its first copy shows what became of it.
+    /// Appends a record and reads the log until the effect of its first copy is known.
     ///
     /// # Errors
     /// If the log fails; see [`append`].
@@ -169,12 +169,12 @@
         self.refresh().await?;
         let record = Record::new(Wall::now(), self.by.clone(), body);
         let from = self.reader.end();
-        append(&self.log, &record, from, self.patience).await?;
+        append(&self.log, &record, from, self.time_limit).await?;
         self.await_effect(record.id).await
     }
 
     async fn await_effect(&mut self, id: Id) -> Result<Answer, Error> {
-        let deadline = tokio::time::Instant::now() + self.patience;
+        let deadline = tokio::time::Instant::now() + self.time_limit;
         loop {
             let error = match self.reader.step(WAIT).await {
                 Ok(outcomes) => {
@@ -187,7 +187,7 @@
                 Err(error) => Some(error),
             };
             if tokio::time::Instant::now() >= deadline {
-                return Err(self.lost_sight(id, error));
+                return Err(self.unsettled(id, error));
             }
         }
     }
@@ -213,7 +213,7 @@
         }
     }
 
-    fn lost_sight(&self, id: Id, error: Option<Error>) -> Error {
+    fn unsettled(&self, id: Id, error: Option<Error>) -> Error {
         let source = error.unwrap_or_else(|| Error::Cut {
             peer: self.log.peer().into(),
         });
@@ -224,6 +224,6 @@
     }
 }
 
-fn wrong(problems: &[impl ToString]) -> Reason {
+fn invalid(problems: &[impl ToString]) -> Reason {
     Reason::Invalid(problems.iter().map(ToString::to_string).collect())
 }
--- a/crates/cassiarock-platform/src/publish/turn.rs
+++ b/crates/cassiarock-platform/src/publish/turn.rs
@@ -1,4 +1,4 @@
-//! When an agent may announce something on the log.
+//! Spreads the announcements of agents on the log over time.
 
 use crate::follow::Status;
 use cassiarock_rule::jitter;
@@ -6,7 +6,7 @@
 
 /// Waits until the log answers, and then for this process's turn among all agents that may
 /// have something to announce at the same time; `draw` is a random number from 0 up to 1.
-/// Gives the status then; nothing if the follower has ended.
+/// Returns the status at that time, or `None` if the follower has ended.
 ///
 /// Appending while the log is down would only add calls to it, and appending at once when it
 /// returns would bring a thousand appends in one second; see [`jitter::delay`].
@@ -16,14 +16,14 @@
 /// # tokio::runtime::Runtime::new()?.block_on(async {
 /// # let stand = cassiarock_test_support::log::Stand::start().await?;
 /// let follower = Follower::start(Log::new(stand.url())?);
-/// let status = publish::turn(&mut follower.subscribe(), 0.5).await;
+/// let status = publish::wait_for_turn(&mut follower.subscribe(), 0.5).await;
 /// assert!(status.is_some_and(|status| status.reachable));
 /// # Ok::<_, Box<dyn std::error::Error>>(()) })?;
 /// # Ok::<_, Box<dyn std::error::Error>>(())
 /// ```
-pub async fn turn(status: &mut watch::Receiver<Status>, draw: f64) -> Option<Status> {
+pub async fn wait_for_turn(status: &mut watch::Receiver<Status>, draw: f64) -> Option<Status> {
     let known = status.wait_for(|status| status.reachable && status.state.is_some());
-    let most = known.await.ok()?.most;
-    tokio::time::sleep(jitter::delay(most, draw)).await;
+    let max_agents = known.await.ok()?.max_agents;
+    tokio::time::sleep(jitter::delay(max_agents, draw)).await;
     Some(status.borrow().clone())
 }
