--- a/crates/cassiarock-agent/src/actor.rs
+++ b/crates/cassiarock-agent/src/actor.rs
@@ -8,7 +8,7 @@
 use cassiarock_platform::{Follower, follow};
 use cassiarock_policy::place::TaskKey;
 use cassiarock_process::{Clock, Now, Status};
-use cassiarock_upstream::Worker;
+use cassiarock_upstream::UpstreamClient;
 use cassiarock_wire::{HandOver, Role};
 use kameo::Actor;
 use kameo::message::{Context, Message};
@@ -57,7 +57,7 @@
     pub(crate) state: State,
     pub(crate) clock: Clock,
     pub(crate) links: Links,
-    pub(crate) worker: Worker,
+    pub(crate) worker: UpstreamClient,
     pub(crate) follower: Arc<Follower>,
     pub(crate) inputs: mpsc::Sender<Input>,
     pub(crate) status: watch::Sender<Status>,
--- a/crates/cassiarock-agent/src/run.rs
+++ b/crates/cassiarock-agent/src/run.rs
@@ -17,7 +17,7 @@
 use cassiarock_rule::Member;
 use cassiarock_rule::request::Resources;
 use cassiarock_settings as settings;
-use cassiarock_upstream::Worker;
+use cassiarock_upstream::UpstreamClient;
 use cassiarock_wire::Role;
 use kameo::actor::Spawn;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
         let monitor = Monitor::bind(settings.metrics).await?;
         let monitor_address = monitor.address();
         let log = Log::new(&settings.log)?;
-        let worker = Worker::new(settings.worker.as_str(), settings.connections)?;
+        let worker = UpstreamClient::new(settings.worker.as_str(), settings.connections)?;
         let follower = Follower::start(log.clone());
         let follower = follower.with_snapshots(&log, settings.name.clone(), settings.log_retention);
         let follower = follower.with_neighbours(Neighbours::new(&settings.neighbours)?);
@@ -232,7 +232,7 @@
 fn act(
     settings: &settings::Agent,
     process: &Process,
-    (worker, follower): (Worker, Arc<Follower>),
+    (worker, follower): (UpstreamClient, Arc<Follower>),
     inputs: &mpsc::Sender<Input>,
     status: watch::Sender<Status>,
     received: mpsc::Receiver<Input>,
--- a/crates/cassiarock-agent/src/work.rs
+++ b/crates/cassiarock-agent/src/work.rs
@@ -4,12 +4,12 @@
 use crate::state::AssignedTask;
 use cassiarock_claim::message::Outcome;
 use cassiarock_policy::place::TaskKey;
-use cassiarock_upstream::{self as upstream, Worker};
+use cassiarock_upstream::{self as upstream, UpstreamClient};
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
 /// Runs a task and sends its outcome to the actor.
-pub(crate) fn spawn(worker: &Worker, assigned: AssignedTask, inputs: mpsc::Sender<Input>) {
+pub(crate) fn spawn(worker: &UpstreamClient, assigned: AssignedTask, inputs: mpsc::Sender<Input>) {
     let worker = worker.clone();
     tokio::spawn(async move {
         let key = assigned.key();
@@ -23,7 +23,7 @@
 }
 
 /// Asks the upstream to stop a task.
-pub(crate) fn stop(worker: &Worker, key: TaskKey) {
+pub(crate) fn stop(worker: &UpstreamClient, key: TaskKey) {
     let worker = worker.clone();
     tokio::spawn(async move {
         if let Err(error) = worker.stop(key.job, key.task).await {
--- a/crates/cassiarock-upstream/src/lib.rs
+++ b/crates/cassiarock-upstream/src/lib.rs
@@ -5,12 +5,12 @@
 mod outcome;
 mod protocol;
 mod run;
-mod watch;
 mod worker;
+mod worker_health;
 
 pub use error::Error;
 pub use outcome::Outcome;
 pub use protocol::{Health, Usage};
 pub use run::Run;
-pub use watch::Watch;
-pub use worker::Worker;
+pub use worker::UpstreamClient;
+pub use worker_health::WorkerHealth;
--- a/crates/cassiarock-upstream/src/outcome.rs
+++ b/crates/cassiarock-upstream/src/outcome.rs
@@ -1,6 +1,6 @@
 //! What a run came to.
 
-/// What the agent knows of a task after a [`Worker::run`](crate::Worker::run).
+/// What the agent knows of a task after a [`UpstreamClient::run`](crate::UpstreamClient::run).
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The worker's result, whole: JSON text.
--- a/crates/cassiarock-upstream/src/worker.rs
+++ b/crates/cassiarock-upstream/src/worker.rs
@@ -20,14 +20,14 @@
 
 /// The client of one worker. Its clones share the connections.
 #[derive(Clone, Debug)]
-pub struct Worker {
+pub struct UpstreamClient {
     base: Name,
     client: Client,
     connections: Arc<Semaphore>,
     answer: usize,
 }
 
-impl Worker {
+impl UpstreamClient {
     /// The worker at `base`, such as `http://10.0.0.7:8080`, with so many connections
     /// at the most.
     ///
@@ -37,8 +37,8 @@
     /// ```
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
-    /// use cassiarock_upstream::Worker;
-    /// let worker = Worker::new("http://127.0.0.1:1", 64)?;
+    /// use cassiarock_upstream::UpstreamClient;
+    /// let worker = UpstreamClient::new("http://127.0.0.1:1", 64)?;
     /// assert!(worker.health().await.is_err());
     /// # Ok(())
     /// # }
@@ -69,8 +69,8 @@
     ///
     /// ```
     /// # fn main() -> Result<(), cassiarock_upstream::Error> {
-    /// use cassiarock_upstream::Worker;
-    /// let worker = Worker::new("http://127.0.0.1:1", 64)?.with_answer_limit(4096);
+    /// use cassiarock_upstream::UpstreamClient;
+    /// let worker = UpstreamClient::new("http://127.0.0.1:1", 64)?.with_answer_limit(4096);
     /// # Ok(())
     /// # }
     /// ```
@@ -91,10 +91,10 @@
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// use cassiarock_id::{Job, Task, Wall};
     /// use cassiarock_test_support::worker;
-    /// use cassiarock_upstream::{Outcome, Run, Worker};
+    /// use cassiarock_upstream::{Outcome, Run, UpstreamClient};
     /// use std::time::{Duration, Instant};
     /// let standin = worker::Worker::new()?;
-    /// let worker = Worker::new(standin.url(), 64)?;
+    /// let worker = UpstreamClient::new(standin.url(), 64)?;
     /// let run = Run {
     ///     job: Job::new(Wall::now()),
     ///     task: Task(0),
@@ -138,9 +138,9 @@
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # use cassiarock_test_support::worker;
-    /// # use cassiarock_upstream::Worker;
+    /// # use cassiarock_upstream::UpstreamClient;
     /// let standin = worker::Worker::new()?;
-    /// let worker = Worker::new(standin.url(), 64)?;
+    /// let worker = UpstreamClient::new(standin.url(), 64)?;
     /// let job = cassiarock_id::Job::new(cassiarock_id::Wall::now());
     /// assert!(!worker.stop(job, cassiarock_id::Task(0)).await?);
     /// # Ok(())
@@ -165,9 +165,9 @@
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # use cassiarock_test_support::worker;
-    /// # use cassiarock_upstream::Worker;
+    /// # use cassiarock_upstream::UpstreamClient;
     /// let standin = worker::Worker::new()?;
-    /// let worker = Worker::new(standin.url(), 64)?;
+    /// let worker = UpstreamClient::new(standin.url(), 64)?;
     /// assert!(worker.health().await?.healthy);
     /// # Ok(())
     /// # }
@@ -185,9 +185,9 @@
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # use cassiarock_test_support::worker;
-    /// # use cassiarock_upstream::Worker;
+    /// # use cassiarock_upstream::UpstreamClient;
     /// let standin = worker::Worker::new()?;
-    /// let worker = Worker::new(standin.url(), 64)?;
+    /// let worker = UpstreamClient::new(standin.url(), 64)?;
     /// assert_eq!(worker.usage().await?.running, 0);
     /// # Ok(())
     /// # }
--- a/crates/cassiarock-upstream/src/watch.rs
+++ b/crates/cassiarock-upstream/src/worker_health.rs
@@ -4,7 +4,7 @@
 
 /// The weight of the newest outcome. Ten failures in a row bring the share from 0 to
 /// 0.8: at 8 slots and 50 ms that is a tenth of a second of a worker that fails at once.
-const WEIGHT: f64 = 0.15;
+const SMOOTHING: f64 = 0.15;
 
 /// One worker's record, kept by its agent.
 ///
@@ -12,43 +12,43 @@
 /// more work to itself, and every job of many tasks fails on it. The agent only judges;
 /// how many workers of a pool may be left out at a time is the entry's decision.
 #[derive(Clone, Debug)]
-pub struct Watch {
-    limit: u32,
-    missed: u32,
-    failing: f64,
-    blamed: Option<Job>,
+pub struct WorkerHealth {
+    max_failed_checks: u32,
+    failed_checks: u32,
+    failure_rate: f64,
+    last_failed_job: Option<Job>,
 }
 
-impl Watch {
+impl WorkerHealth {
     /// A record that calls the worker down after `limit` failed checks in a row.
     ///
     /// ```
-    /// use cassiarock_upstream::Watch;
-    /// let mut watch = Watch::new(2);
-    /// watch.check(false);
-    /// assert!(watch.up());
-    /// watch.check(false);
-    /// assert!(!watch.up());
-    /// watch.check(true);
-    /// assert!(watch.up());
+    /// use cassiarock_upstream::WorkerHealth;
+    /// let mut health = WorkerHealth::new(2);
+    /// health.record_check(false);
+    /// assert!(health.is_up());
+    /// health.record_check(false);
+    /// assert!(!health.is_up());
+    /// health.record_check(true);
+    /// assert!(health.is_up());
     /// ```
     #[must_use]
-    pub const fn new(limit: u32) -> Self {
+    pub const fn new(max_failed_checks: u32) -> Self {
         Self {
-            limit,
-            missed: 0,
-            failing: 0.0,
-            blamed: None,
+            max_failed_checks,
+            failed_checks: 0,
+            failure_rate: 0.0,
+            last_failed_job: None,
         }
     }
 
     /// Notes a health check. One check in a row may be lost to a burst; `limit` of them
     /// are not.
-    pub const fn check(&mut self, healthy: bool) {
-        self.missed = if healthy {
+    pub const fn record_check(&mut self, healthy: bool) {
+        self.failed_checks = if healthy {
             0
         } else {
-            self.missed.saturating_add(1)
+            self.failed_checks.saturating_add(1)
         };
     }
 
@@ -58,38 +58,38 @@
     ///
     /// ```
     /// use cassiarock_id::{Job, Wall};
-    /// use cassiarock_upstream::Watch;
-    /// let mut watch = Watch::new(3);
+    /// use cassiarock_upstream::WorkerHealth;
+    /// let mut health = WorkerHealth::new(3);
     /// let job = Job::new(Wall::now());
-    /// watch.run(job, true);
-    /// let once = watch.failing();
-    /// watch.run(job, true);
-    /// assert_eq!(watch.failing(), once);
+    /// health.record_run(job, true);
+    /// let once = health.failure_rate();
+    /// health.record_run(job, true);
+    /// assert_eq!(health.failure_rate(), once);
     /// ```
-    pub fn run(&mut self, job: Job, failed: bool) {
-        if failed && self.blamed == Some(job) {
+    pub fn record_run(&mut self, job: Job, failed: bool) {
+        if failed && self.last_failed_job == Some(job) {
             return;
         }
-        self.blamed = failed.then_some(job);
+        self.last_failed_job = failed.then_some(job);
         let newest = f64::from(u8::from(failed));
-        self.failing += WEIGHT * (newest - self.failing);
+        self.failure_rate += SMOOTHING * (newest - self.failure_rate);
     }
 
     /// Whether the worker answers its checks.
     #[must_use]
-    pub const fn up(&self) -> bool {
-        self.missed < self.limit
+    pub const fn is_up(&self) -> bool {
+        self.failed_checks < self.max_failed_checks
     }
 
     /// Whether the last check was good.
     #[must_use]
-    pub const fn answered(&self) -> bool {
-        self.missed == 0
+    pub const fn has_passed_last_check(&self) -> bool {
+        self.failed_checks == 0
     }
 
     /// The share of failed runs of late, from 0 to 1.
     #[must_use]
-    pub const fn failing(&self) -> f64 {
-        self.failing
+    pub const fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 }
--- a/crates/cassiarock-upstream/tests/watch.rs
+++ b/crates/cassiarock-upstream/tests/watch.rs
@@ -1,7 +1,7 @@
 //! The judgement of a worker.
 
 use cassiarock_id::{Job, Wall};
-use cassiarock_upstream::Watch;
+use cassiarock_upstream::WorkerHealth;
 
 fn job(bits: u64) -> Job {
     Job::with_bits(Wall::from_millis(1), bits)
@@ -11,24 +11,24 @@
 /// at once, so it is always free and is given the most work.
 #[test]
 fn a_worker_that_fails_everything_shows_within_ten_jobs() {
-    let mut watch = Watch::new(3);
-    (0..10).for_each(|bits| watch.run(job(bits), true));
-    assert!(watch.failing() > 0.75, "{}", watch.failing());
+    let mut health = WorkerHealth::new(3);
+    (0..10).for_each(|bits| health.record_run(job(bits), true));
+    assert!(health.failure_rate() > 0.75, "{}", health.failure_rate());
 }
 
 /// The whole pool is taken for broken. One job that can never run was spread over all
 /// upstreams and failed with each of its tasks.
 #[test]
 fn one_job_that_cannot_run_does_not_blame_its_workers() {
-    let mut watch = Watch::new(3);
-    (0..860).for_each(|_| watch.run(job(1), true));
-    assert!(watch.failing() < 0.2, "{}", watch.failing());
+    let mut health = WorkerHealth::new(3);
+    (0..860).for_each(|_| health.record_run(job(1), true));
+    assert!(health.failure_rate() < 0.2, "{}", health.failure_rate());
 }
 
 #[test]
 fn a_worker_that_recovered_is_trusted_again() {
-    let mut watch = Watch::new(3);
-    (0..50).for_each(|bits| watch.run(job(bits), true));
-    (0..20).for_each(|bits| watch.run(job(bits), false));
-    assert!(watch.failing() < 0.05, "{}", watch.failing());
+    let mut health = WorkerHealth::new(3);
+    (0..50).for_each(|bits| health.record_run(job(bits), true));
+    (0..20).for_each(|bits| health.record_run(job(bits), false));
+    assert!(health.failure_rate() < 0.05, "{}", health.failure_rate());
 }
--- a/crates/cassiarock-upstream/tests/worker.rs
+++ b/crates/cassiarock-upstream/tests/worker.rs
@@ -4,7 +4,7 @@
 
 use cassiarock_id::{Job, Task, Wall};
 use cassiarock_test_support::worker::{self, Fault};
-use cassiarock_upstream::{Outcome, Run, Worker};
+use cassiarock_upstream::{Outcome, Run, UpstreamClient};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
@@ -21,8 +21,8 @@
     }
 }
 
-fn client(standin: &worker::Worker) -> Worker {
-    Worker::new(standin.url(), 64).unwrap()
+fn client(standin: &worker::Worker) -> UpstreamClient {
+    UpstreamClient::new(standin.url(), 64).unwrap()
 }
 
 fn kind(outcome: &Outcome) -> &'static str {
@@ -135,7 +135,7 @@
         std::thread::sleep(Duration::from_millis(300));
         listener.accept().is_ok()
     });
-    let client = Worker::new(url, 64).unwrap();
+    let client = UpstreamClient::new(url, 64).unwrap();
     assert_eq!(client.run(&first).await, Outcome::Done(b"1".to_vec()));
     let outcome = client.run(&run("{}")).await;
     assert_eq!(kind(&outcome), "lost");
@@ -174,7 +174,7 @@
 #[tokio::test]
 async fn connections_are_free_again_after_a_hang() {
     let standin = worker::Worker::new().unwrap();
-    let client = Worker::new(standin.url(), 1).unwrap();
+    let client = UpstreamClient::new(standin.url(), 1).unwrap();
     standin.set_fault(Fault::Hang);
     let outcome = client.run(&run("{}")).await;
     assert_eq!(kind(&outcome), "lost");
@@ -186,7 +186,7 @@
 #[tokio::test]
 async fn no_more_connections_are_used_than_allowed() {
     let standin = worker::Worker::new().unwrap();
-    let client = Worker::new(standin.url(), 2).unwrap();
+    let client = UpstreamClient::new(standin.url(), 2).unwrap();
     let runs = (0..6).map(|index| {
         let client = client.clone();
         let order = Run {
