--- a/crates/cassiarock-upstream/src/error.rs
+++ b/crates/cassiarock-upstream/src/error.rs
@@ -1,11 +1,11 @@
-//! Faults on the way to the worker.
+//! Errors of calls to the worker.
 
-/// A call to the worker that came to nothing. Runs have an [`Outcome`](crate::Outcome)
-/// instead, as it matters there whether the task may have started.
+/// Why a control call to the worker failed. Runs return an [`Outcome`](crate::Outcome)
+/// instead, because it matters there whether the task may have started.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The HTTP client could not be set up. The base URL or the system's TLS or network
-    /// set-up is at fault; correct the setting that the message names.
+    /// The HTTP client could not be set up. The cause is the base URL or the system's TLS or
+    /// network configuration; correct the setting that the message names.
     #[error("setting up the client for the worker at {peer}: {reason}")]
     Setup {
         /// The worker's base URL.
@@ -13,8 +13,8 @@
         /// The library's message.
         reason: String,
     },
-    /// The worker did not answer a control call in time, or not with what the protocol
-    /// says. Its health check counts it; look at the worker's own log.
+    /// The worker did not answer a control call in time, or its answer does not follow
+    /// the protocol. The health check counts this as a failure; see the worker's own log.
     #[error("{step} at the worker at {peer}: {reason}")]
     Call {
         /// Which call.
--- a/crates/cassiarock-upstream/src/lib.rs
+++ b/crates/cassiarock-upstream/src/lib.rs
@@ -1,4 +1,4 @@
-//! The agent's side towards its upstream: slots, connections and the worker's HTTP protocol.
+//! The agent's client of its upstream: connections, health and the worker's HTTP protocol.
 
 mod error;
 mod exchange;
--- a/crates/cassiarock-upstream/src/outcome.rs
+++ b/crates/cassiarock-upstream/src/outcome.rs
@@ -1,16 +1,16 @@
-//! What a run came to.
+//! The outcome of a run.
 
 /// What the agent knows of a task after a [`UpstreamClient::run`](crate::UpstreamClient::run).
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The worker's result, whole: JSON text.
+    /// The worker's complete result as JSON text.
     Done(Vec<u8>),
     /// The worker said that the task failed.
     Failed(String),
-    /// The request left and no whole valid answer came back: the task may have run.
+    /// The request may have been sent and no complete valid answer came back: the task may
+    /// have run.
     Lost(String),
-    /// No connection came about, so nothing was sent: the task has not started, and
-    /// this run starts it no more.
+    /// Nothing was sent: the task has not started, and this run will not start it any more.
     NotStarted(String),
 }
 
--- a/crates/cassiarock-upstream/src/protocol.rs
+++ b/crates/cassiarock-upstream/src/protocol.rs
@@ -2,7 +2,7 @@
 //!
 //! | call | body | answer |
 //! |---|---|---|
-//! | `POST /v1/tasks` | [`Start`] | [`Ended`] |
+//! | `POST /v1/tasks` | [`RunRequest`] | [`RunAnswer`] |
 //! | `DELETE /v1/tasks/{job}/{task}` | | 200, or 404 if it does not run |
 //! | `GET /v1/health` | | [`Health`] |
 //! | `GET /v1/usage` | | [`Usage`] |
@@ -12,9 +12,9 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::value::RawValue;
 
-/// The order to run a task.
+/// The request to run a task.
 #[derive(Serialize)]
-pub(crate) struct Start<'a> {
+pub(crate) struct RunRequest<'a> {
     job: Job,
     task: Task,
     round: u32,
@@ -22,8 +22,8 @@
     payload: &'a RawValue,
 }
 
-impl<'a> Start<'a> {
-    /// The order for `run`; none if its payload is not JSON.
+impl<'a> RunRequest<'a> {
+    /// The request for `run`; `None` if its payload is not JSON.
     pub(crate) fn new(run: &'a Run) -> Option<Self> {
         Some(Self {
             job: run.job,
@@ -35,45 +35,48 @@
     }
 }
 
-/// The worker's answer to an order: the identity of the run, and either of the others.
+/// The worker's answer to a run request: the identity of the run, and either a result or an
+/// error.
 #[derive(Deserialize)]
-pub(crate) struct Ended {
+pub(crate) struct RunAnswer {
     job: Job,
     task: Task,
     round: u32,
-    #[serde(default, deserialize_with = "present")]
+    #[serde(default, deserialize_with = "deserialize_present")]
     pub(crate) result: Option<Box<RawValue>>,
     pub(crate) error: Option<String>,
 }
 
-impl Ended {
-    /// Whether this is the answer to `run`. A worker, or a proxy before it, that mixes
-    /// up two answers would hand one caller another's result; the identity shows it.
-    pub(crate) fn answers(&self, run: &Run) -> bool {
+impl RunAnswer {
+    /// Whether this is the answer to `run`. The identity detects a worker, or a proxy in
+    /// front of it, that mixes up two answers: one caller would get another's result.
+    pub(crate) fn belongs_to(&self, run: &Run) -> bool {
         (self.job, self.task, self.round) == (run.job, run.task, run.round)
     }
 }
 
-/// A result that is there. By default `null` would count as none, and a task whose result
-/// is `null` as lost.
-fn present<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Box<RawValue>>, D::Error> {
+/// Deserializes a result that is present, `null` included. By default `null` would become `None`,
+/// and a task whose result is `null` would count as lost.
+fn deserialize_present<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<Box<RawValue>>, D::Error> {
     Box::<RawValue>::deserialize(deserializer).map(Some)
 }
 
-/// Whether the worker can take work, as it says itself.
+/// The health that the worker reports.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 pub struct Health {
-    /// Whether it can.
+    /// Whether the worker can take work.
     pub healthy: bool,
-    /// Whether it is about to go and should get no new work.
+    /// Whether the worker is about to shut down and should get no new work.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What the worker's tasks use. The figures lag behind by up to some seconds.
+/// The resources that the worker's tasks use. The values may be several seconds old.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Usage {
-    /// Running tasks.
+    /// The number of running tasks.
     pub running: u32,
     /// Processor cores in use.
     pub cores: f64,
--- a/crates/cassiarock-upstream/src/run.rs
+++ b/crates/cassiarock-upstream/src/run.rs
@@ -9,7 +9,7 @@
 pub struct Run {
     /// The job.
     pub job: Job,
-    /// The task's place in the job.
+    /// The task's index in the job.
     pub task: Task,
     /// The round of the attempt that starts it.
     pub round: u32,
@@ -17,6 +17,6 @@
     pub kind: Name,
     /// The JSON text of the caller's payload.
     pub payload: Arc<[u8]>,
-    /// How long the worker may take; after it the run counts as hung.
+    /// How long the worker may take; after that the run counts as hung.
     pub limit: Duration,
 }
--- a/crates/cassiarock-upstream/src/worker.rs
+++ b/crates/cassiarock-upstream/src/worker.rs
@@ -1,7 +1,7 @@
-//! The worker behind the agent.
+//! The HTTP client of the agent's worker.
 
-use crate::exchange::{Fault, chain, classify, judge, read};
-use crate::protocol::Start;
+use crate::exchange::{RequestError, classify, decode_outcome, error_chain, read_body};
+use crate::protocol::RunRequest;
 use crate::{Error, Health, Outcome, Run, Usage};
 use cassiarock_id::{Job, Name, Task};
 use reqwest::{Client, Response};
@@ -10,13 +10,13 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// How long a connection may take to come about. A worker is beside its agent, with a
-/// round trip under a millisecond; a second covers a lost SYN.
-const CONNECT: Duration = Duration::from_millis(1500);
-/// How long a control call may take.
-const CONTROL: Duration = Duration::from_secs(1);
+/// The limit for connecting. A worker is close to its agent, with a round trip under a
+/// millisecond; a second covers a lost SYN.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The limit for a control call.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 /// The largest answer of a task, in bytes.
-const ANSWER: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// The client of one worker. Its clones share the connections.
 #[derive(Clone, Debug)]
@@ -24,12 +24,12 @@
     base: Name,
     client: Client,
     connections: Arc<Semaphore>,
-    answer: usize,
+    max_answer_bytes: usize,
 }
 
 impl UpstreamClient {
-    /// The worker at `base`, such as `http://10.0.0.7:8080`, with so many connections
-    /// at the most.
+    /// Creates a client of the worker at `base`, such as `http://10.0.0.7:8080`, with at most
+    /// `connections` concurrent runs.
     ///
     /// # Errors
     /// If the HTTP client cannot be set up.
@@ -50,22 +50,22 @@
             .redirect(reqwest::redirect::Policy::none())
             // The library's own retry would start a task a second time.
             .retry(reqwest::retry::never())
-            .connect_timeout(CONNECT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .pool_max_idle_per_host(connections)
             .build()
             .map_err(|error| Error::Setup {
                 peer: base.to_string(),
-                reason: chain(&error),
+                reason: error_chain(&error),
             })?;
         Ok(Self {
             base,
             client,
             connections: Arc::new(Semaphore::new(connections)),
-            answer: ANSWER,
+            max_answer_bytes: MAX_ANSWER_BYTES,
         })
     }
 
-    /// The same worker with another limit on the bytes of an answer.
+    /// Sets the limit on the size of an answer, in bytes.
     ///
     /// ```
     /// # fn main() -> Result<(), cassiarock_upstream::Error> {
@@ -76,15 +76,15 @@
     /// ```
     #[must_use]
     pub const fn with_answer_limit(mut self, bytes: usize) -> Self {
-        self.answer = bytes;
+        self.max_answer_bytes = bytes;
         self
     }
 
     /// Runs a task and waits for its end.
     ///
-    /// A worker that hangs, closes the connection, or answers with anything but a whole
-    /// valid answer to this very run leaves the task's end open: once the request has
-    /// left, all of these are [`Outcome::Lost`].
+    /// If the worker hangs, closes the connection, or sends anything but a complete valid
+    /// answer to this run, it is unknown how the task ended: once the request may have been
+    /// sent, all of these are [`Outcome::Lost`].
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")]
@@ -108,31 +108,31 @@
     /// # }
     /// ```
     pub async fn run(&self, run: &Run) -> Outcome {
-        let Some(start) = Start::new(run) else {
+        let Some(request) = RunRequest::new(run) else {
             return Outcome::NotStarted("the payload is not JSON".to_owned());
         };
-        let _connection = self.connection().await;
+        let _connection = self.acquire_connection().await;
         let began = Instant::now();
-        let outcome = self.attempt(run, &start).await;
+        let outcome = self.attempt(run, &request).await;
         metrics::counter!("cassiarock_upstream_runs_total", "outcome" => outcome.label())
             .increment(1);
         metrics::histogram!("cassiarock_upstream_run_seconds").record(began.elapsed());
         outcome
     }
 
-    async fn attempt(&self, run: &Run, start: &Start<'_>) -> Outcome {
-        match tokio::time::timeout(run.limit, self.exchange(start)).await {
-            Ok(Ok(bytes)) => judge(run, &bytes),
-            Ok(Err(Fault::Unsent(reason))) => Outcome::NotStarted(reason),
-            Ok(Err(Fault::Sent(reason))) => Outcome::Lost(reason),
-            Err(_) => self.hung(run).await,
+    async fn attempt(&self, run: &Run, request: &RunRequest<'_>) -> Outcome {
+        match tokio::time::timeout(run.limit, self.exchange(request)).await {
+            Ok(Ok(bytes)) => decode_outcome(run, &bytes),
+            Ok(Err(RequestError::Unsent(reason))) => Outcome::NotStarted(reason),
+            Ok(Err(RequestError::Sent(reason))) => Outcome::Lost(reason),
+            Err(_) => self.stop_hung(run).await,
         }
     }
 
-    /// Has the worker stop a task; false if it does not run there.
+    /// Stops a task at the worker; `false` if it does not run there.
     ///
     /// # Errors
-    /// If the worker gives no answer: the task may go on.
+    /// If the worker gives no valid answer: the task may still be running.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")]
@@ -152,7 +152,7 @@
         match response.status().as_u16() {
             200 => Ok(true),
             404 => Ok(false),
-            status => Err(self.fault("stop", format!("status {status}"))),
+            status => Err(self.call_error("stop", format!("status {status}"))),
         }
     }
 
@@ -196,10 +196,10 @@
         self.get("usage").await
     }
 
-    /// A worker that took the request and never answers holds the slot for good, and
-    /// shows by nothing else. The limit ends the wait, and the stop is sent before the
-    /// slot is free again, so that a worker that is merely slow is not given more.
-    async fn hung(&self, run: &Run) -> Outcome {
+    /// Ends a run that exceeded its limit. A worker that never answers would hold the slot for
+    /// ever, and nothing else reveals it. The stop is sent before the slot is released, so that
+    /// a worker that is merely slow gets no additional work.
+    async fn stop_hung(&self, run: &Run) -> Outcome {
         let reason = format!("no answer within {} ms", run.limit.as_millis());
         match self.stop(run.job, run.task).await {
             Ok(_) => Outcome::Lost(reason),
@@ -207,25 +207,27 @@
         }
     }
 
-    async fn exchange(&self, start: &Start<'_>) -> Result<Vec<u8>, Fault> {
+    async fn exchange(&self, request: &RunRequest<'_>) -> Result<Vec<u8>, RequestError> {
         let url = format!("{}/v1/tasks", self.base);
         let response = self
             .client
             .post(url)
-            .json(start)
+            .json(request)
             .send()
             .await
             .map_err(|error| classify(&error))?;
-        read(response, self.answer).await.map_err(Fault::Sent)
+        read_body(response, self.max_answer_bytes)
+            .await
+            .map_err(RequestError::Sent)
     }
 
     async fn get<T: DeserializeOwned>(&self, step: &'static str) -> Result<T, Error> {
         let url = format!("{}/v1/{step}", self.base);
         let response = self.control(step, self.client.get(url)).await?;
-        let body = tokio::time::timeout(CONTROL, response.json())
+        let body = tokio::time::timeout(CONTROL_TIMEOUT, response.json())
             .await
-            .map_err(|_| self.fault(step, "its answer breaks off".to_owned()))?;
-        body.map_err(|error| self.fault(step, chain(&error)))
+            .map_err(|_| self.call_error(step, "its answer breaks off".to_owned()))?;
+        body.map_err(|error| self.call_error(step, error_chain(&error)))
     }
 
     async fn control(
@@ -233,13 +235,13 @@
         step: &'static str,
         request: reqwest::RequestBuilder,
     ) -> Result<Response, Error> {
-        let request = request.timeout(CONTROL).send();
+        let request = request.timeout(CONTROL_TIMEOUT).send();
         request
             .await
-            .map_err(|error| self.fault(step, chain(&error)))
+            .map_err(|error| self.call_error(step, error_chain(&error)))
     }
 
-    fn fault(&self, step: &'static str, reason: String) -> Error {
+    fn call_error(&self, step: &'static str, reason: String) -> Error {
         Error::Call {
             step,
             peer: self.base.to_string(),
@@ -247,9 +249,9 @@
         }
     }
 
-    /// A connection for a run. Control calls need none of these: they must come through
-    /// when every connection is held by a run that hangs.
-    async fn connection(&self) -> Option<SemaphorePermit<'_>> {
+    /// Acquires a connection permit for a run. Control calls need no permit: they must get
+    /// through when hanging runs hold every permit.
+    async fn acquire_connection(&self) -> Option<SemaphorePermit<'_>> {
         self.connections.acquire().await.ok()
     }
 }
--- a/crates/cassiarock-upstream/src/worker_health.rs
+++ b/crates/cassiarock-upstream/src/worker_health.rs
@@ -1,16 +1,16 @@
-//! Whether the worker can be trusted with work, judged from checks and outcomes.
+//! The worker's health, derived from health checks and outcomes of runs.
 
 use cassiarock_id::Job;
 
-/// The weight of the newest outcome. Ten failures in a row bring the share from 0 to
-/// 0.8: at 8 slots and 50 ms that is a tenth of a second of a worker that fails at once.
+/// The weight of the newest outcome in the failure rate. Ten failures in a row raise the rate
+/// from 0 to 0.8; at 8 slots and 50 ms a worker that fails at once gets there in 0.1 s.
 const SMOOTHING: f64 = 0.15;
 
-/// One worker's record, kept by its agent.
+/// The health record of one worker, kept by its agent.
 ///
-/// Made for a worker that fails everything it starts: being always free, it draws ever
-/// more work to itself, and every job of many tasks fails on it. The agent only judges;
-/// how many workers of a pool may be left out at a time is the entry's decision.
+/// It detects a worker that fails everything it starts: such a worker is always free, so it
+/// attracts ever more work, and every job of many tasks fails on it. The agent only assesses;
+/// how many workers of a pool may be excluded at a time is the entry's decision.
 #[derive(Clone, Debug)]
 pub struct WorkerHealth {
     max_failed_checks: u32,
@@ -20,7 +20,7 @@
 }
 
 impl WorkerHealth {
-    /// A record that calls the worker down after `limit` failed checks in a row.
+    /// Creates a record that reports the worker as down after `limit` failed checks in a row.
     ///
     /// ```
     /// use cassiarock_upstream::WorkerHealth;
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Notes a health check. One check in a row may be lost to a burst; `limit` of them
-    /// are not.
+    /// Records a health check. A single check may fail under a burst of load; the limit of
+    /// failed checks in a row is not reached that way.
     pub const fn record_check(&mut self, healthy: bool) {
         self.failed_checks = if healthy {
             0
@@ -52,7 +52,7 @@
         };
     }
 
-    /// Notes how a run of `job` ended. A job that can never run fails with each of its
+    /// Records how a run of `job` ended. A job that can never run fails with each of its
     /// tasks on every worker; only its first failure in a row counts, or one such job of
     /// 860 tasks would show the whole pool as failing.
     ///
@@ -75,19 +75,19 @@
         self.failure_rate += SMOOTHING * (newest - self.failure_rate);
     }
 
-    /// Whether the worker answers its checks.
+    /// Whether fewer checks in a row than the limit have failed.
     #[must_use]
     pub const fn is_up(&self) -> bool {
         self.failed_checks < self.max_failed_checks
     }
 
-    /// Whether the last check was good.
+    /// Whether the last check succeeded.
     #[must_use]
     pub const fn has_passed_last_check(&self) -> bool {
         self.failed_checks == 0
     }
 
-    /// The share of failed runs of late, from 0 to 1.
+    /// The moving average of failed runs, from 0 to 1.
     #[must_use]
     pub const fn failure_rate(&self) -> f64 {
         self.failure_rate
--- a/crates/cassiarock-upstream/tests/worker.rs
+++ b/crates/cassiarock-upstream/tests/worker.rs
@@ -1,4 +1,4 @@
-//! The client of a worker against the stand-in and its faults.
+//! The client of a worker against a stand-in with injected faults.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -34,16 +34,16 @@
     }
 }
 
-async fn until(condition: impl Fn() -> bool) {
-    let give_up = Instant::now() + Duration::from_secs(10);
+async fn wait_until(condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(10);
     while !condition() {
-        assert!(Instant::now() < give_up, "the condition never held");
+        assert!(Instant::now() < deadline, "the condition never held");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A parent is told that a booking failed, tries again, and pays twice. The worker took
-/// the first request and then broke in a way that looked like a failure to start.
+/// Guards against a task reported as not started after the worker took the request and then
+/// failed: the caller tries again, and a booking is paid twice.
 #[parameterized(
     a_hang = { Fault::Hang },
     a_crash = { Fault::Crash },
@@ -53,7 +53,7 @@
     a_run_past_its_limit = { Fault::Slow(100.0) },
 )]
 #[test_macro(tokio::test)]
-async fn after_the_request_left_anything_but_an_answer_is_lost(fault: Fault) {
+async fn once_the_request_is_sent_anything_but_a_valid_answer_is_lost(fault: Fault) {
     let standin = worker::Worker::new().unwrap();
     standin.set_fault(fault);
     let outcome = client(&standin)
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn a_failure_is_told_apart_from_a_loss() {
+async fn a_failure_is_distinguished_from_a_lost_answer() {
     let standin = worker::Worker::new().unwrap();
     let outcome = client(&standin).run(&run(r#"{"fail": "no seat"}"#)).await;
     assert_eq!(outcome, Outcome::Failed("no seat".to_owned()));
@@ -92,13 +92,13 @@
     let standin = worker::Worker::new().unwrap();
     let client = client(&standin);
     drop(standin);
-    let give_up = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         let outcome = client.run(&run("{}")).await;
         if kind(&outcome) == "not started" {
             break;
         }
-        assert!(Instant::now() < give_up, "{outcome:?}");
+        assert!(Instant::now() < deadline, "{outcome:?}");
     }
 }
 
@@ -110,10 +110,11 @@
     assert_eq!(standin.total(), 0);
 }
 
-/// A sign-off is counted twice in an audit. The worker closed a kept connection just as
-/// the next request went out on it, and the HTTP library sent the request again.
+/// Guards against a task that runs twice (a sign-off counted twice in an audit): the worker
+/// closed a keep-alive connection just as the next request was sent on it, and the HTTP library
+/// sent the request again.
 #[tokio::test]
-async fn a_request_cut_on_a_kept_connection_is_not_sent_again() {
+async fn a_request_cut_on_a_reused_connection_is_not_sent_again() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let url = format!("http://{}", listener.local_addr().unwrap());
     let first = run("{}");
@@ -128,7 +129,7 @@
             "HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{answer}"
         )
         .unwrap();
-        // The second request arrives whole, and the connection is closed on it.
+        // The second request arrives, and the connection is closed without an answer.
         assert!(stream.read(&mut buffer).unwrap() > 0);
         drop(stream);
         listener.set_nonblocking(true).unwrap();
@@ -143,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_over_the_limit_is_given_up() {
+async fn an_answer_over_the_limit_is_lost() {
     let standin = worker::Worker::new().unwrap();
     let client = client(&standin).with_answer_limit(200);
     let payload = format!(r#"{{"echo": "{}"}}"#, "x".repeat(200));
@@ -163,14 +164,14 @@
         let (client, order) = (client.clone(), order.clone());
         async move { client.run(&order).await }
     });
-    until(|| standin.running() == 1).await;
+    wait_until(|| standin.running() == 1).await;
     assert!(client.stop(order.job, order.task).await.unwrap());
     assert_eq!(kind(&running.await.unwrap()), "failed");
     assert!(!client.stop(order.job, order.task).await.unwrap());
 }
 
-/// Every start on one upstream waits, though its slots are free. A worker that hung took
-/// all connections, and they were never given back.
+/// Guards against starts that wait although slots are free: a worker that hung held all
+/// connections, and they were never released.
 #[tokio::test]
 async fn connections_are_free_again_after_a_hang() {
     let standin = worker::Worker::new().unwrap();
@@ -213,11 +214,11 @@
         };
         async move { client.run(&order).await }
     });
-    until(|| standin.running() == 1).await;
+    wait_until(|| standin.running() == 1).await;
     assert!(client.health().await.unwrap().healthy);
-    let give_up = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     while client.usage().await.unwrap().running == 0 {
-        assert!(Instant::now() < give_up, "the usage never showed the task");
+        assert!(Instant::now() < deadline, "the usage never showed the task");
     }
     running.abort();
 }
