--- a/crates/cassiarock-process/src/behind.rs
+++ b/crates/cassiarock-process/src/behind.rs
@@ -1,14 +1,14 @@
-//! Whether a peer's state of the log is ahead of one's own for too long.
+//! Detects that this process lags behind a peer's state of the log for too long.
 
 use std::time::Duration;
 
-/// How long the log itself may take to deliver what a peer has already. A change has to
+/// How long to wait for the log to deliver what a peer has already. A change has to
 /// be in force everywhere within 17 s; the log usually delivers within some milliseconds,
-/// and a whole state from a peer is far larger than a record.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// and a peer's complete state is far larger than a record.
+const MAX_LAG: Duration = Duration::from_secs(2);
 
-/// Tells when to ask a peer for its state: a process that is cut off from the log would
-/// otherwise act by old rules for as long as that lasts.
+/// Decides when to request a peer's state. Without it, a process that is cut off from the log
+/// would apply outdated rules until it is connected again.
 ///
 /// ```
 /// use cassiarock_process::Behind;
@@ -20,19 +20,20 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Behind {
-    /// The own offset that was behind, and since when.
+    /// This process's offset that lagged behind, and since when.
     since: Option<(u64, Duration)>,
 }
 
 impl Behind {
-    /// Whether to ask a peer whose state reaches `theirs`, with one's own reaching `own`.
+    /// Whether to request the state of a peer that has applied the log up to `theirs`, while this
+    /// process has applied it up to `own`.
     pub fn asks(&mut self, own: u64, theirs: u64, now: Duration) -> bool {
         if theirs <= own {
             return false;
         }
         match self.since {
             Some((behind, since)) if behind == own => {
-                let asks = now.saturating_sub(since) >= PATIENCE;
+                let asks = now.saturating_sub(since) >= MAX_LAG;
                 if asks {
                     self.since = Some((own, now));
                 }
--- a/crates/cassiarock-process/src/clock.rs
+++ b/crates/cassiarock-process/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time, read by shells and handed to decisions.
+//! The clocks that the I/O code reads and passes to the decision code.
 
 use cassiarock_id::Wall;
 use nix::time::{ClockId, clock_gettime};
@@ -7,8 +7,8 @@
 /// One reading of both clocks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Now {
-    /// Time since the process started, which never steps. It goes on while the VM is
-    /// suspended: what was promised to others for a time must not outlast it.
+    /// Time since the process started, which never jumps. It keeps counting while the VM
+    /// is suspended, so that no time-limited promise to others is kept beyond its limit.
     pub up: Duration,
     /// Wall-clock time, which other processes' times are compared with.
     pub wall: Wall,
@@ -27,17 +27,19 @@
 }
 
 impl Clock {
-    /// Clocks that count from now.
+    /// Creates clocks that count from now.
     #[must_use]
     pub fn new() -> Self {
-        Self { started: booted() }
+        Self {
+            started: time_since_boot(),
+        }
     }
 
-    /// A reading.
+    /// Reads both clocks.
     #[must_use]
     pub fn now(&self) -> Now {
         Now {
-            up: booted().saturating_sub(self.started),
+            up: time_since_boot().saturating_sub(self.started),
             wall: Wall::now(),
         }
     }
@@ -49,9 +51,8 @@
     }
 }
 
-/// The time since the VM started, its suspensions included. The clock is there on every
-/// system that the daemon runs on; without it time would stand still, and nothing would be
-/// served.
-fn booted() -> Duration {
+/// The time since the VM booted, including suspensions. Every system that the daemon runs on
+/// has this clock; without it the time would stay zero, and nothing would be served.
+fn time_since_boot() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
--- a/crates/cassiarock-process/src/forward.rs
+++ b/crates/cassiarock-process/src/forward.rs
@@ -1,8 +1,8 @@
-//! Carries what other parts of a process tell into its actor's inputs.
+//! Forwards messages of other parts of a process to its actor's inputs.
 
 use tokio::sync::{mpsc, watch};
 
-/// Passes everything on as an input, until either side is gone.
+/// Forwards every message as an input until either channel is closed.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -20,14 +20,15 @@
     to: mpsc::Sender<U>,
     input: impl Fn(T) -> U,
 ) {
-    while let Some(one) = from.recv().await {
-        if to.send(input(one)).await.is_err() {
+    while let Some(message) = from.recv().await {
+        if to.send(input(message)).await.is_err() {
             return;
         }
     }
 }
 
-/// Passes each change on as an input; of changes in quick succession perhaps only the last.
+/// Forwards each change as an input. Of several changes in quick succession, only the last may
+/// be forwarded.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
--- a/crates/cassiarock-process/src/monitor.rs
+++ b/crates/cassiarock-process/src/monitor.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Buckets for durations in seconds: from one round trip to the longest tasks.
-const SECONDS: [f64; 12] = [
+/// Histogram buckets in seconds, from one round trip to the longest tasks.
+const DURATION_BUCKETS: [f64; 12] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0,
 ];
 
@@ -70,11 +70,11 @@
     }
 }
 
-/// The recorder is the whole program's: the first process in it installs it.
+/// Returns the recorder of the whole program; the first process in the program installs it.
 fn recorder() -> Option<&'static PrometheusHandle> {
     if RECORDER.get().is_none()
         && let Ok(builder) = PrometheusBuilder::new()
-            .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &SECONDS)
+            .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &DURATION_BUCKETS)
         && let Ok(handle) = builder.install_recorder()
     {
         let _ = RECORDER.set(handle);
--- a/crates/cassiarock-process/src/outlet.rs
+++ b/crates/cassiarock-process/src/outlet.rs
@@ -1,4 +1,4 @@
-//! Lines for standard output that never make their writer wait.
+//! Writes log lines to standard output without ever blocking the caller.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -8,35 +8,35 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that may wait: some seconds of a busy process, in about 1 MB.
-const LINES: usize = 4_096;
+/// Capacity of the queue: several seconds of a busy process, in about 1 MB.
+const CAPACITY: usize = 4_096;
 
-/// Beyond this many waiting lines only failures are taken.
-const FULL: usize = LINES * 3 / 4;
+/// With this many lines queued, only failures are accepted.
+const FAILURES_ONLY: usize = CAPACITY * 3 / 4;
 
-/// Lines of one kind in a second; more are only counted. A busy entry decides on some 200
-/// requests a second.
-const KIND: u32 = 400;
+/// Limit of lines of one kind per second; further lines are only counted. A busy entry decides
+/// on about 200 requests a second.
+const MAX_LINES_PER_KIND: u32 = 400;
 
-/// How long lines are gathered for one write: a system call for each line would cost more
-/// than the decision that it tells of. It is what a killed process may fail to tell.
-const GATHER: Duration = Duration::from_millis(50);
+/// How long lines are batched for one write: a system call for each line would cost more than
+/// the decision that it reports. A killed process may lose the lines of this time.
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The pause between two looks at what still waits when a process ends.
-const DRAIN: Duration = Duration::from_millis(5);
+/// How often [`Outlet::drain`] checks whether lines are still queued.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The period over which lines of one kind are counted.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Kinds that are counted apart; the program has some fifty.
-const KINDS: usize = 256;
+/// Limit of kinds that are counted separately; the program has about fifty.
+const MAX_KINDS: usize = 256;
 
-/// What was left out of one kind.
+/// The lines of one kind that were dropped.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Omission {
     /// The kind.
     pub kind: String,
-    /// How many lines.
+    /// The number of dropped lines.
     pub lines: u64,
 }
 
@@ -46,7 +46,7 @@
     seen: HashMap<String, (u32, u64)>,
 }
 
-/// The sending end; clones send to the same thread.
+/// The sender of lines to the writing thread; clones share the thread.
 #[derive(Clone, Debug)]
 pub struct Outlet {
     lines: SyncSender<String>,
@@ -63,7 +63,7 @@
     /// ```
     #[must_use]
     pub fn new(out: impl Write + Send + 'static) -> Self {
-        let (lines, queue) = sync_channel(LINES);
+        let (lines, queue) = sync_channel(CAPACITY);
         let waiting = Arc::new(AtomicUsize::new(0));
         let count = waiting.clone();
         thread::spawn(move || write(out, &queue, &count));
@@ -77,18 +77,18 @@
         }
     }
 
-    /// Queues a line of some kind. Answers whether it was queued: not if too much waits, or
-    /// if there were too many of its kind within a second.
+    /// Queues a line of some kind. Returns `false` if the line was dropped because the queue is
+    /// too full or there were too many lines of its kind within a second.
     pub fn push(&self, kind: &str, is_failure: bool, line: String) -> bool {
         let mut period = self.period.lock().unwrap_or_else(PoisonError::into_inner);
-        if period.seen.len() >= KINDS && !period.seen.contains_key(kind) {
+        if period.seen.len() >= MAX_KINDS && !period.seen.contains_key(kind) {
             period.seen.clear();
         }
         let waiting = self.waiting.load(Ordering::Relaxed);
         let entry = period.seen.entry(kind.to_owned()).or_default();
         entry.0 += 1;
-        let has_room = waiting < if is_failure { LINES } else { FULL };
-        if entry.0 <= KIND && has_room {
+        let has_room = waiting < if is_failure { CAPACITY } else { FAILURES_ONLY };
+        if entry.0 <= MAX_LINES_PER_KIND && has_room {
             self.waiting.fetch_add(1, Ordering::Relaxed);
             if self.lines.try_send(line).is_ok() {
                 return true;
@@ -100,16 +100,16 @@
         false
     }
 
-    /// Waits until all lines are written, at most for `limit`: a process that ends would
-    /// otherwise take its last lines with it.
+    /// Waits until all lines are written, at most for `limit`, so that a process that ends does
+    /// not lose its last lines.
     pub fn drain(&self, limit: Duration) {
         let until = Instant::now() + limit;
         while self.waiting.load(Ordering::Relaxed) > 0 && Instant::now() < until {
-            thread::sleep(DRAIN);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 
-    /// What was left out in the last period, if that is over.
+    /// The lines dropped in the last period, or nothing while the period lasts.
     #[must_use]
     pub fn omissions(&self) -> Vec<Omission> {
         let mut period = self.period.lock().unwrap_or_else(PoisonError::into_inner);
@@ -125,12 +125,12 @@
     }
 }
 
-/// Writes until all senders are gone. A reader that has gone away ends it as well: the lines
-/// then fill the queue and are dropped.
+/// Writes lines until all senders are dropped or a write fails because the reader is gone. After
+/// a failed write, further lines are dropped.
 fn write(mut out: impl Write, queue: &Receiver<String>, waiting: &AtomicUsize) {
     let mut text = String::new();
     while let Ok(first) = queue.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_INTERVAL);
         let mut count = 1;
         text.push_str(&first);
         text.push('\n');
--- a/crates/cassiarock-process/src/parts.rs
+++ b/crates/cassiarock-process/src/parts.rs
@@ -1,11 +1,11 @@
-//! The parts that a process consists of.
+//! Supervises the long-running tasks of a process.
 
 use std::collections::HashMap;
 use tokio::task::{Id, JoinSet};
 
-/// A part of the process is gone that the others cannot do without. What it left of its state
-/// is not to be trusted, so the process has to end and to be started anew; the line of the
-/// panic, if there was one, stands in the log before.
+/// A part of the process has ended that the others depend on. The state that it left cannot be
+/// trusted, so the process has to end and be restarted. If the part panicked, the log has the
+/// panic message before this error.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{part} ended before the process did; restart the process and report its last lines")]
 pub struct Fault {
@@ -13,11 +13,11 @@
     pub part: &'static str,
 }
 
-/// Tasks that run until the process ends. Dropping it ends them.
+/// Tasks that run until the process ends. Dropping it aborts them.
 ///
-/// It guards against a process that listens and serves nothing: a panic ends only the task
-/// that it happens in, and callers then wait for an actor that is gone. [`Self::fault`] sees
-/// the end of every task.
+/// It guards against a process that listens but serves nothing: a panic ends only the task in
+/// which it happens, and callers would then wait for an actor that is gone. [`Self::fault`]
+/// observes the end of every task.
 #[derive(Debug, Default)]
 pub struct Parts {
     tasks: JoinSet<()>,
@@ -31,7 +31,7 @@
 }
 
 impl Parts {
-    /// Starts a part that may come to its end before the process does.
+    /// Starts a part that may end before the process does.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")]
@@ -45,7 +45,7 @@
         self.add(Part { name, is_vital }, part);
     }
 
-    /// Starts a part whose end leaves the process useless.
+    /// Starts a part without which the process cannot work.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")]
@@ -69,7 +69,7 @@
         self.parts.insert(id, part);
     }
 
-    /// Waits until a part has panicked or a vital one has ended; for ever if none does.
+    /// Waits until a part has panicked or a vital one has ended; never returns if none does.
     pub async fn fault(&mut self) -> Fault {
         while let Some(ended) = self.tasks.join_next_with_id().await {
             let (id, has_panicked) = match ended {
@@ -86,7 +86,7 @@
         std::future::pending().await
     }
 
-    /// Ends all parts, and waits until they have.
+    /// Aborts all parts and waits until they have ended.
     pub async fn shutdown(&mut self) {
         self.tasks.shutdown().await;
         self.parts.clear();
--- a/crates/cassiarock-process/src/pump.rs
+++ b/crates/cassiarock-process/src/pump.rs
@@ -4,19 +4,19 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Inputs handed over at once. Deciding on a batch costs one pass over what is due, so
-/// that under load the passes do not grow with the inputs; more would delay the first.
-const BATCH: usize = 256;
+/// Limit of inputs in a batch. Each batch costs one pass over what is due, so under load the
+/// number of passes does not grow with the inputs; larger batches would delay the first input.
+const MAX_BATCH: usize = 256;
 
-/// Inputs that may wait. A process that is this far behind makes its links wait.
+/// Capacity of the input queue. When it is full, the links of the process have to wait.
 pub const BACKLOG: usize = 16_384;
 
 /// The longest pause between two passes, so that deadlines, evictions and heartbeats are
-/// seen to without input.
-const LONGEST: Duration = Duration::from_millis(100);
+/// handled without input.
+const MAX_PAUSE: Duration = Duration::from_millis(100);
 
-/// The shortest pause: what is due and cannot be done yet must not spin.
-const SHORTEST: Duration = Duration::from_millis(1);
+/// The shortest pause, so that work that is due but cannot be done yet causes no busy loop.
+const MIN_PAUSE: Duration = Duration::from_millis(1);
 
 /// The receiving end of a process's inputs.
 #[derive(Debug)]
@@ -25,14 +25,14 @@
 }
 
 impl<T> Pump<T> {
-    /// A pump of `inputs`.
+    /// Creates a pump that reads `inputs`.
     #[must_use]
     pub const fn new(inputs: mpsc::Receiver<T>) -> Self {
         Self { inputs }
     }
 
-    /// The inputs that have come, waiting at most `idle` for the first; none if nothing
-    /// came in that time. Ends when all senders are gone.
+    /// Returns the inputs received, waiting at most `idle` for the first; an empty batch if
+    /// nothing arrived in that time, and `None` when all senders are gone.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")]
@@ -49,15 +49,15 @@
     /// ```
     pub async fn next(&mut self, idle: Duration) -> Option<Vec<T>> {
         let mut batch = Vec::new();
-        let received = self.inputs.recv_many(&mut batch, BATCH);
-        match timeout(idle.clamp(SHORTEST, LONGEST), received).await {
+        let received = self.inputs.recv_many(&mut batch, MAX_BATCH);
+        match timeout(idle.clamp(MIN_PAUSE, MAX_PAUSE), received).await {
             Ok(0) => None,
             Ok(_) | Err(_) => Some(batch),
         }
     }
 
-    /// Hands the inputs to an actor in batches, until it or all senders are gone. The actor
-    /// answers for how long nothing is due.
+    /// Passes the inputs to an actor in batches until the actor returns `None` or all senders are
+    /// gone. The actor returns for how long nothing is due.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")]
--- a/crates/cassiarock-process/src/stage.rs
+++ b/crates/cassiarock-process/src/stage.rs
@@ -1,37 +1,37 @@
-//! How a process ends.
+//! The stages of a process's shutdown.
 
 use tokio::sync::watch;
 
-/// What an operator asks of a process, in this order.
+/// The stage that an operator requests of a process, in order.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Stage {
-    /// Serve.
+    /// Serve normally.
     #[default]
     Run,
     /// Take nothing new, finish what is in flight, then end.
     Drain,
-    /// End now, and say what was cut.
+    /// End now and report what was interrupted.
     Stop,
 }
 
-/// What a process left behind when it ended.
+/// The unfinished work of a process when it ended.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Report {
     /// Jobs without a final answer.
     pub jobs: usize,
-    /// Tasks that waited or ran.
+    /// Tasks that were waiting or running.
     pub tasks: usize,
 }
 
 impl Report {
-    /// Whether nothing was cut.
+    /// Whether nothing was interrupted.
     #[must_use]
     pub const fn is_clean(&self) -> bool {
         self.jobs == 0 && self.tasks == 0
     }
 }
 
-/// Waits until `stage` or a later one is asked for; also if nobody can ask any more.
+/// Waits until `stage` or a later one is requested, or until the sender is gone.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
--- a/crates/cassiarock-process/src/state.rs
+++ b/crates/cassiarock-process/src/state.rs
@@ -1,4 +1,4 @@
-//! Serving the state folded from the log to processes that cannot read the log.
+//! Serves the state folded from the log to processes that cannot read the log.
 
 use axum::extract::Query;
 use axum::http::StatusCode;
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 
 #[derive(Deserialize)]
-struct Known {
-    /// The `next` of the state that the asker has.
+struct StateQuery {
+    /// The `next` of the state that the requesting process has.
     after: Option<u64>,
 }
 
@@ -23,11 +23,11 @@
 /// assert!(router.has_routes());
 /// ```
 pub fn state(state: impl Fn() -> Option<Arc<State>> + Clone + Send + Sync + 'static) -> Router {
-    let answer = |Query(known): Query<Known>| async move { newer(state(), &known) };
+    let answer = |Query(known): Query<StateQuery>| async move { newer(state(), &known) };
     Router::new().route("/state", get(answer))
 }
 
-fn newer(state: Option<Arc<State>>, known: &Known) -> Response {
+fn newer(state: Option<Arc<State>>, known: &StateQuery) -> Response {
     match state.filter(|state| known.after.is_none_or(|after| state.next > after)) {
         Some(state) => Json(state).into_response(),
         None => StatusCode::NO_CONTENT.into_response(),
--- a/crates/cassiarock-process/src/status.rs
+++ b/crates/cassiarock-process/src/status.rs
@@ -1,4 +1,4 @@
-//! What a process says of itself on `GET /status`.
+//! The status that a process reports on `GET /status`.
 
 use cassiarock_id::{Name, Process, Wall};
 use cassiarock_rule::State;
@@ -9,7 +9,7 @@
 pub struct Evacuation {
     /// The data centre.
     pub data_centre: Name,
-    /// When the entry heard of it.
+    /// When the entry learned of it.
     pub since: Wall,
     /// Tasks of the entry that are still there.
     pub tasks: usize,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The log's state moved on, or the log came or went.
+    /// Updates the status after a change of the log's state or of its reachability.
     ///
     /// ```
     /// use cassiarock_id::Process;
--- a/crates/cassiarock-process/tests/outlet.rs
+++ b/crates/cassiarock-process/tests/outlet.rs
@@ -1,4 +1,4 @@
-//! The log's way out of a process.
+//! The writer of log lines.
 
 use cassiarock_process::Outlet;
 use std::io::{self, Write};
@@ -6,10 +6,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A reader that reads nothing until it is told to.
-struct Stuck(Receiver<()>);
+/// A writer that blocks until the test releases it.
+struct BlockedWriter(Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         // An error means that the test is over.
         let _ = self.0.recv();
@@ -21,16 +21,16 @@
     }
 }
 
-fn stuck() -> (Outlet, Sender<()>) {
+fn blocked_outlet() -> (Outlet, Sender<()>) {
     let (go, wait) = channel();
-    (Outlet::new(Stuck(wait)), go)
+    (Outlet::new(BlockedWriter(wait)), go)
 }
 
-// Whoever collects the logs stopped reading. Each request then waited for its log line, and
-// the process grew until it was killed.
+// Guards against log lines that block requests: the log collector stopped reading, each request
+// waited for its log line, and the process grew until it was killed.
 #[test]
 fn a_reader_that_stops_reading_delays_nobody_and_keeps_memory_bounded() {
-    let (outlet, _go) = stuck();
+    let (outlet, _go) = blocked_outlet();
     let began = Instant::now();
     let mut taken = 0;
     for number in 0..200_000 {
@@ -47,7 +47,7 @@
 
 #[test]
 fn failures_are_taken_when_other_lines_are_left_out() {
-    let (outlet, _go) = stuck();
+    let (outlet, _go) = blocked_outlet();
     let mut number = 0;
     while outlet.push(&format!("kind {}", number % 50), false, "x".to_owned()) {
         number += 1;
@@ -57,7 +57,7 @@
 
 #[test]
 fn lines_of_one_kind_beyond_the_bound_are_counted() {
-    let (outlet, _go) = stuck();
+    let (outlet, _go) = blocked_outlet();
     let taken = (0..1_000)
         .filter(|_| outlet.push("placed", false, "x".to_owned()))
         .count();
@@ -71,9 +71,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         kept.extend_from_slice(bytes);
@@ -87,7 +87,7 @@
 
 #[test]
 fn lines_come_out_whole_and_in_order() {
-    let kept = Kept::default();
+    let kept = SharedBuffer::default();
     let outlet = Outlet::new(kept.clone());
     for number in 0..100 {
         assert!(outlet.push("kind", false, format!("line {number}")));
@@ -98,10 +98,10 @@
     assert_eq!(String::from_utf8_lossy(&written), expected);
 }
 
-// The line that says that a process has stopped was never seen: the process ended first.
+// Guards against a lost last line: the process ended before its "stopped" line was written.
 #[test]
 fn the_last_lines_of_a_process_that_ends_are_written() {
-    let kept = Kept::default();
+    let kept = SharedBuffer::default();
     let outlet = Outlet::new(kept.clone());
     assert!(outlet.push("stopped", false, "stopped".to_owned()));
     outlet.drain(Duration::from_secs(5));
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_process_that_ends_does_not_wait_for_a_reader_that_has_stopped() {
-    let (outlet, _go) = stuck();
+    let (outlet, _go) = blocked_outlet();
     assert!(outlet.push("stopped", false, "stopped".to_owned()));
     let began = Instant::now();
     outlet.drain(Duration::from_millis(200));
--- a/crates/cassiarock-process/tests/parts.rs
+++ b/crates/cassiarock-process/tests/parts.rs
@@ -1,8 +1,8 @@
-//! What a process does about a part that has ended.
+//! Detection of parts of a process that have ended.
 //!
-//! A process whose actor panics on a bad input goes on listening: callers connect, the
-//! balancer's question is answered, and no job is ever decided on. Seen from outside it hangs
-//! until somebody kills it. The panic ends only the part's own task, and nobody looks at that.
+//! Guards against a process that hangs after its actor panics on a bad input. The panic ends only
+//! the part's own task; unless that is observed, the process keeps listening and answering the
+//! load balancer's health check, but decides on no job until it is killed.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
