--- a/crates/cassiarock-operator/src/document.rs
+++ b/crates/cassiarock-operator/src/document.rs
@@ -1,7 +1,7 @@
 //! Input files in JSON with comments.
 
 use crate::Error;
-use cassiarock_settings::document;
+use cassiarock_settings::parse_jsonc;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::path::Path;
@@ -12,7 +12,7 @@
 /// Reads and parses a file, or stdin if it is named `-`.
 pub fn read(path: &Path) -> Result<Value, Error> {
     let text = text(path)?;
-    Ok(document(&text, &path.display().to_string())?)
+    Ok(parse_jsonc(&text, &path.display().to_string())?)
 }
 
 /// Reads and parses a file into `T`.
--- a/crates/cassiarock-settings/src/document.rs
+++ b/crates/cassiarock-settings/src/document.rs
@@ -23,12 +23,12 @@
 /// Parses JSON with comments; `file` is named in errors.
 ///
 /// ```
-/// use cassiarock_settings::document;
-/// let value = document("{ \"slots\": 8, /* more */ }", "agent.jsonc").unwrap();
+/// use cassiarock_settings::parse_jsonc;
+/// let value = parse_jsonc("{ \"slots\": 8, /* more */ }", "agent.jsonc").unwrap();
 /// assert_eq!(value["slots"], 8);
-/// assert!(document("{ \"slots\": 8, \"slots\": 9 }", "agent.jsonc").is_err());
+/// assert!(parse_jsonc("{ \"slots\": 8, \"slots\": 9 }", "agent.jsonc").is_err());
 /// ```
-pub fn document(text: &str, file: &str) -> Result<serde_json::Value, Error> {
+pub fn parse_jsonc(text: &str, file: &str) -> Result<serde_json::Value, Error> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &FORM);
     let parsed = parsed.map_err(|error| Error::Syntax {
         file: file.to_owned(),
@@ -38,7 +38,7 @@
         return Ok(serde_json::Value::Null);
     };
     match repeated(&value) {
-        Some(field) => Err(Error::Twice {
+        Some(field) => Err(Error::DuplicateField {
             file: file.to_owned(),
             field,
         }),
--- a/crates/cassiarock-settings/src/error.rs
+++ b/crates/cassiarock-settings/src/error.rs
@@ -34,7 +34,7 @@
     },
     /// A field is given twice, and it is not clear which value is meant. Delete one.
     #[error("{file}: field `{field}`: given twice; delete one of the two")]
-    Twice {
+    DuplicateField {
         /// The file, or the name given to the text.
         file: String,
         /// The path of the field, joined by dots.
--- a/crates/cassiarock-settings/src/lib.rs
+++ b/crates/cassiarock-settings/src/lib.rs
@@ -23,7 +23,7 @@
 pub use agent::Agent;
 pub use capacity::Capacity;
 pub use client::Client;
-pub use document::document;
+pub use document::parse_jsonc;
 pub use entry::Entry;
 pub use error::Error;
 pub use format::Format;
--- a/crates/cassiarock-settings/src/read.rs
+++ b/crates/cassiarock-settings/src/read.rs
@@ -1,7 +1,7 @@
 //! From text to typed settings, with the path of the field in every error.
 
 use crate::nearest::nearest;
-use crate::{Error, document};
+use crate::{Error, parse_jsonc};
 use serde::de::DeserializeOwned;
 use std::fs;
 use std::path::Path;
@@ -16,7 +16,7 @@
 
 /// Parses JSON with comments into `T`; `file` is named in errors.
 pub fn parse<T: DeserializeOwned>(text: &str, file: &str) -> Result<T, Error> {
-    let value = document(text, file)?;
+    let value = parse_jsonc(text, file)?;
     serde_path_to_error::deserialize(value)
         .map_err(|error| explain(file, &error.path().to_string(), &error.inner().to_string()))
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use cassiarock_rule::{Configuration, check, source};
-use cassiarock_settings::{Agent, Client, Entry, document};
+use cassiarock_settings::{Agent, Client, Entry, parse_jsonc};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -23,7 +23,7 @@
 /// A file in JSON with comments as a `T`.
 fn typed<T: DeserializeOwned>(path: &Path) -> T {
     let text = fs::read_to_string(path).unwrap();
-    let value = document(&text, &path.display().to_string()).unwrap();
+    let value = parse_jsonc(&text, &path.display().to_string()).unwrap();
     serde_json::from_value(value).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
