--- a/crates/cassiarock-settings/src/agent.rs
+++ b/crates/cassiarock-settings/src/agent.rs
@@ -11,77 +11,77 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What an agent learns at its start. `docs/SETTINGS.md` describes each field.
+/// Settings that an agent reads at startup. `docs/SETTINGS.md` describes each field.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Agent {
-    /// This process's name, unlike that of every other entry and agent.
+    /// The name of this process, unique among all entries and agents.
     pub name: Name,
     /// The data centre of this VM.
     pub data_centre: Name,
     /// The rack of this VM.
     pub rack: Name,
-    /// The pool that rules send work to.
+    /// The pool of this agent, to which rules route work.
     pub pool: Name,
-    /// Where the system's own processes connect.
+    /// Listen address for the system's own processes.
     pub peers: SocketAddr,
-    /// The address of `peers` as others reach it; by default `peers` as bound.
+    /// The address at which others reach `peers`; by default the bound address.
     #[serde(default)]
     pub peers_public: Option<SocketAddr>,
-    /// Where metrics and status are served.
+    /// Listen address for metrics and status.
     pub metrics: SocketAddr,
-    /// The address of `metrics` as others reach it; by default `metrics` as bound.
+    /// The address at which others reach `metrics`; by default the bound address.
     #[serde(default)]
     pub metrics_public: Option<SocketAddr>,
     /// Base URL of the platform's log.
     pub log: String,
     /// The key shared by all processes of the system.
     pub key: Key,
-    /// The form of log lines.
+    /// The format of log lines.
     #[serde(default)]
     pub log_format: Format,
-    /// Base URL of the worker that this agent guards.
+    /// Base URL of the worker that this agent fronts.
     pub worker: String,
-    /// Tasks that run on the worker at a time.
+    /// Maximum number of tasks that run concurrently on the worker.
     #[serde(default = "Agent::slots")]
     pub slots: usize,
-    /// Connections to the worker at a time.
+    /// Maximum number of concurrent connections to the worker.
     #[serde(default = "Agent::connections")]
     pub connections: usize,
-    /// What the worker has.
+    /// Resources of the worker.
     #[serde(default)]
     pub capacity: Capacity,
-    /// Whether response time or messages count more. Must be the same at all entries and
-    /// agents.
+    /// Whether placement favours short response times or few messages. Must be the same at
+    /// all entries and agents.
     #[serde(default)]
     pub weight: Objective,
-    /// The rhythm of health checks on the worker.
+    /// Health checks of the worker.
     #[serde(default)]
     pub health: Health,
-    /// The bounds of the start ledger and of the keeper's claims.
+    /// Retention limits of the start ledger and of the keeper's claims.
     #[serde(default)]
     pub ledger: Ledger,
-    /// How far the clocks of two VMs may differ. Must be the same everywhere.
+    /// The largest difference between the clocks of two VMs. Must be the same at all processes.
     #[serde(default = "Entry::clock_skew")]
     #[serde_as(as = "Time")]
     pub clock_skew: Duration,
-    /// Base URLs of other processes' monitors, entries best, to learn the state from while the
-    /// log is down.
+    /// Base URLs of other processes' monitoring listeners, preferably those of entries, from
+    /// which the state is read while the log is down.
     #[serde(default)]
     pub neighbours: Vec<String>,
-    /// How long the log keeps a record. Snapshots are written well before.
+    /// How long the log keeps a record. Snapshots are written well before it expires.
     #[serde(default = "Entry::log_retention")]
     #[serde_as(as = "Time")]
     pub log_retention: Duration,
-    /// How long a drain may take before what is left is cut.
+    /// How long a drain may take before the remaining work is cut off.
     #[serde(default = "Entry::drain_limit")]
     #[serde_as(as = "Time")]
     pub drain_limit: Duration,
 }
 
 impl Agent {
-    /// An agent on loopback ports that the system draws, for tests and examples.
+    /// An agent on ephemeral loopback ports, for tests and examples.
     ///
     /// ```
     /// use cassiarock_settings::Agent;
@@ -98,15 +98,15 @@
         log: impl Into<String>,
         key: &str,
     ) -> Self {
-        let drawn = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let ephemeral = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         Self {
             name: name.into(),
             data_centre: data_centre.into(),
             rack: "rack-1".into(),
             pool: "default".into(),
-            peers: drawn,
+            peers: ephemeral,
             peers_public: None,
-            metrics: drawn,
+            metrics: ephemeral,
             metrics_public: None,
             log: log.into(),
             key: Key::from(key),
@@ -151,7 +151,7 @@
         Self { rack, ..self }
     }
 
-    /// The same agent before the worker at base URL `worker`.
+    /// The same agent with the worker at base URL `worker`.
     ///
     /// ```
     /// use cassiarock_settings::Agent;
@@ -188,7 +188,7 @@
         Ok(settings)
     }
 
-    /// Checks ranges and what fields mean to one another; `file` is named in errors.
+    /// Checks the range of each field and the consistency between fields; `file` is named in errors.
     ///
     /// ```
     /// use cassiarock_settings::Agent;
@@ -196,10 +196,10 @@
     /// assert!(agent.check("in memory").is_err());
     /// ```
     pub fn check(&self, file: &str) -> Result<(), Error> {
-        self.checked().map_err(|problem| problem.in_file(file))
+        self.check_fields().map_err(|problem| problem.in_file(file))
     }
 
-    fn checked(&self) -> Check {
+    fn check_fields(&self) -> Check {
         check::name("name", &self.name)?;
         check::name("data_centre", &self.data_centre)?;
         check::name("rack", &self.rack)?;
--- a/crates/cassiarock-settings/src/capacity.rs
+++ b/crates/cassiarock-settings/src/capacity.rs
@@ -1,21 +1,21 @@
-//! What the worker behind an agent has.
+//! Resources of an agent's worker.
 
 use crate::check::{self, Check};
 use crate::units::Bytes;
 use serde::{Deserialize, Serialize};
 use serde_with::serde_as;
 
-/// The whole worker; a task that declares a need beyond it can never run there.
+/// Total resources of the worker. A task that declares a larger need can never run there.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Capacity {
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: u32,
     /// Memory in bytes.
     #[serde_as(as = "Bytes")]
     pub memory: usize,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
--- a/crates/cassiarock-settings/src/check.rs
+++ b/crates/cassiarock-settings/src/check.rs
@@ -1,10 +1,10 @@
-//! Checks of values that parsed but cannot work.
+//! Validation of values that parsed but may be out of range or inconsistent.
 
 use crate::Error;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A finding about one field, before the file's name is known.
+/// An invalid field value, before the name of the file is added.
 pub struct Problem {
     field: &'static str,
     problem: String,
@@ -12,7 +12,7 @@
 }
 
 impl Problem {
-    /// Field `field` cannot work because of `problem`; `remedy` would.
+    /// `problem` says why the value of `field` is invalid, `remedy` what to write instead.
     pub fn new(field: &'static str, problem: impl Into<String>, remedy: impl Into<String>) -> Self {
         Self {
             field,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The same finding as an error about `file`.
+    /// Converts the problem into an error that names `file`.
     pub fn in_file(self, file: &str) -> Error {
         Error::Range {
             file: file.to_owned(),
@@ -32,14 +32,15 @@
     }
 }
 
-/// The result of one check.
+/// The outcome of a check: nothing, or the first problem found.
 pub type Check = Result<(), Problem>;
 
-/// A name goes into logs, metric labels and records, so it stays short and plain.
+/// Checks a name. Names appear in logs, metric labels and records, so they are limited to
+/// 64 ASCII letters, digits, `-`, `_` or `.`.
 pub fn name(field: &'static str, value: &str) -> Check {
-    const LONGEST: usize = 64;
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if !value.is_empty() && value.len() <= LONGEST && value.chars().all(plain) {
+    const MAX_LENGTH: usize = 64;
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if !value.is_empty() && value.len() <= MAX_LENGTH && value.chars().all(is_allowed) {
         return Ok(());
     }
     Err(Problem::new(
@@ -49,7 +50,7 @@
     ))
 }
 
-/// A base URL without TLS, which the platform's network does not need.
+/// Checks a base URL. Only `http` is accepted: the platform's network does not need TLS.
 pub fn url(field: &'static str, value: &str) -> Check {
     let host = value.strip_prefix("http://").unwrap_or_default();
     if !host.is_empty() && !host.starts_with('/') && !host.contains(char::is_whitespace) {
@@ -62,12 +63,12 @@
     ))
 }
 
-/// Base URLs, each as above.
+/// Checks each base URL with [`url`].
 pub fn urls(field: &'static str, values: &[String]) -> Check {
     values.iter().try_for_each(|value| url(field, value))
 }
 
-/// A count of at least one.
+/// Checks that a count is at least one.
 pub fn positive(field: &'static str, value: usize) -> Check {
     if value > 0 {
         return Ok(());
@@ -75,7 +76,7 @@
     Err(Problem::new(field, "must not be zero", "give at least 1"))
 }
 
-/// A duration between `least` and `most`.
+/// Checks that a duration is between `least` and `most`, both included.
 pub fn between(field: &'static str, value: Duration, least: Duration, most: Duration) -> Check {
     if (least..=most).contains(&value) {
         return Ok(());
@@ -87,7 +88,7 @@
     ))
 }
 
-/// A share between 0 and 1.
+/// Checks that a share is between 0 and 1, both included.
 pub fn share(field: &'static str, value: f64) -> Check {
     if (0.0..=1.0).contains(&value) {
         return Ok(());
@@ -99,8 +100,8 @@
     ))
 }
 
-/// The address that others use must be one that they can reach. A listener on all
-/// interfaces (0.0.0.0) has no such address of its own, so one must be given.
+/// Checks that the address announced to others is reachable. A listener on all interfaces
+/// (0.0.0.0) has no address that others can use, so a public one must be given.
 pub fn reachable(field: &'static str, listen: SocketAddr, public: Option<SocketAddr>) -> Check {
     let announced = public.unwrap_or(listen);
     if !announced.ip().is_unspecified() {
@@ -113,14 +114,14 @@
     ))
 }
 
-/// Two listeners of one process must not share an address: the second bind would fail
-/// at start. Port 0 is drawn by the system and never clashes.
+/// Checks that no two listeners of one process share an address: the second bind would
+/// fail at startup. Port 0 is replaced by an ephemeral port and never conflicts.
 pub fn distinct(listeners: &[(&'static str, SocketAddr)]) -> Check {
     for (index, (field, address)) in listeners.iter().enumerate() {
-        let clash = listeners[..index]
+        let conflict = listeners[..index]
             .iter()
-            .find(|(_, earlier)| clashes(*earlier, *address));
-        if let Some((other, _)) = clash {
+            .find(|(_, earlier)| conflicts(*earlier, *address));
+        if let Some((other, _)) = conflict {
             return Err(Problem::new(
                 field,
                 format!("{address} is also the address of `{other}`"),
@@ -131,13 +132,13 @@
     Ok(())
 }
 
-fn clashes(one: SocketAddr, other: SocketAddr) -> bool {
-    let overlap =
+fn conflicts(one: SocketAddr, other: SocketAddr) -> bool {
+    let same_host =
         one.ip() == other.ip() || one.ip().is_unspecified() || other.ip().is_unspecified();
-    one.port() != 0 && one.port() == other.port() && overlap
+    one.port() != 0 && one.port() == other.port() && same_host
 }
 
-/// A count of at most `most`.
+/// Checks that a count is at most `most`.
 pub fn at_most(field: &'static str, value: usize, most: usize) -> Check {
     if value <= most {
         return Ok(());
@@ -149,7 +150,7 @@
     ))
 }
 
-/// A count of at least `least`.
+/// Checks that a count is at least `least`.
 pub fn at_least(field: &'static str, value: usize, least: usize) -> Check {
     if value >= least {
         return Ok(());
@@ -161,22 +162,23 @@
     ))
 }
 
-/// Clocks are kept by the platform; more than some seconds apart is a fault, not a skew.
+/// Checks the clock skew. The platform synchronises the clocks; a difference of more than
+/// some seconds is a fault, not a skew.
 pub fn skew(value: Duration) -> Check {
-    const MOST: Duration = Duration::from_secs(10);
-    between("clock_skew", value, Duration::from_millis(1), MOST)
+    const MAX: Duration = Duration::from_secs(10);
+    between("clock_skew", value, Duration::from_millis(1), MAX)
 }
 
-/// A quarter of it must hold an outage of the log that is worth the name.
+/// Checks the log retention. A quarter of it must cover a significant outage of the log.
 pub fn retention(value: Duration) -> Check {
-    const LEAST: Duration = Duration::from_secs(60);
-    const MOST: Duration = Duration::from_secs(30 * 86_400);
-    between("log_retention", value, LEAST, MOST)
+    const MIN: Duration = Duration::from_secs(60);
+    const MAX: Duration = Duration::from_secs(30 * 86_400);
+    between("log_retention", value, MIN, MAX)
 }
 
-/// The platform waits for a process that leaves, but not for ever.
+/// Checks the drain limit. The platform waits only a limited time for a process to leave.
 pub fn drain(value: Duration) -> Check {
-    const LEAST: Duration = Duration::from_millis(100);
-    const MOST: Duration = Duration::from_secs(3600);
-    between("drain_limit", value, LEAST, MOST)
+    const MIN: Duration = Duration::from_millis(100);
+    const MAX: Duration = Duration::from_secs(3600);
+    between("drain_limit", value, MIN, MAX)
 }
--- a/crates/cassiarock-settings/src/client.rs
+++ b/crates/cassiarock-settings/src/client.rs
@@ -9,12 +9,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What the operators' client needs. `docs/SETTINGS.md` describes each field.
+/// Settings of the operators' client. `docs/SETTINGS.md` describes each field.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Client {
-    /// Who publishes; written into each record.
+    /// The name of the publishing operator, written into each record.
     pub operator: Name,
     /// Base URL of the platform's log.
     pub log: String,
@@ -22,7 +22,7 @@
     pub entries: Vec<String>,
     /// Base URLs of the entries' metrics listeners, for status and explanations.
     pub status: Vec<String>,
-    /// How long one exchange may take.
+    /// Timeout of one request and its response.
     #[serde(default = "Client::timeout")]
     #[serde_as(as = "Time")]
     pub timeout: Duration,
@@ -33,7 +33,7 @@
 }
 
 impl Client {
-    /// A client of the given log, without entries yet.
+    /// A client of the given log, without entries.
     ///
     /// ```
     /// use cassiarock_settings::Client;
@@ -103,25 +103,25 @@
         Ok(settings)
     }
 
-    /// Checks ranges and what fields mean to one another; `file` is named in errors.
+    /// Checks the range of each field and the consistency between fields; `file` is named in errors.
     ///
     /// ```
     /// use cassiarock_settings::Client;
     /// assert!(Client::new("ana", "http://127.0.0.1:7000").check("in memory").is_err());
     /// ```
     pub fn check(&self, file: &str) -> Result<(), Error> {
-        self.checked().map_err(|problem| problem.in_file(file))
+        self.check_fields().map_err(|problem| problem.in_file(file))
     }
 
-    fn checked(&self) -> Check {
-        const LEAST: Duration = Duration::from_millis(100);
-        const MOST: Duration = Duration::from_secs(600);
+    fn check_fields(&self) -> Check {
+        const MIN: Duration = Duration::from_millis(100);
+        const MAX: Duration = Duration::from_secs(600);
         check::name("operator", &self.operator)?;
         check::url("log", &self.log)?;
-        urls("entries", &self.entries)?;
-        urls("status", &self.status)?;
-        check::between("timeout", self.timeout, LEAST, MOST)?;
-        check::between("wait", self.wait, LEAST, MOST)
+        nonempty_urls("entries", &self.entries)?;
+        nonempty_urls("status", &self.status)?;
+        check::between("timeout", self.timeout, MIN, MAX)?;
+        check::between("wait", self.wait, MIN, MAX)
     }
 
     const fn timeout() -> Duration {
@@ -133,7 +133,7 @@
     }
 }
 
-fn urls(field: &'static str, values: &[String]) -> Check {
+fn nonempty_urls(field: &'static str, values: &[String]) -> Check {
     if values.is_empty() {
         return Err(Problem::new(field, "is empty", "name at least one entry"));
     }
--- a/crates/cassiarock-settings/src/document.rs
+++ b/crates/cassiarock-settings/src/document.rs
@@ -1,13 +1,13 @@
-//! JSON with comments.
+//! Parsing of JSON with comments.
 
 use crate::Error;
 use jsonc_parser::ast::{Object, Value};
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 use std::collections::HashSet;
 
-/// Comments and trailing commas beside plain JSON. What else the parser would let pass,
-/// such as a forgotten comma, is more often a slip than meant.
-const FORM: ParseOptions = ParseOptions {
+/// Plain JSON with comments and trailing commas. The parser's other leniencies, such as
+/// missing commas, stay off because they are more often mistakes than intended.
+const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
     allow_trailing_commas: true,
@@ -29,7 +29,7 @@
 /// assert!(parse_jsonc("{ \"slots\": 8, \"slots\": 9 }", "agent.jsonc").is_err());
 /// ```
 pub fn parse_jsonc(text: &str, file: &str) -> Result<serde_json::Value, Error> {
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &FORM);
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS);
     let parsed = parsed.map_err(|error| Error::Syntax {
         file: file.to_owned(),
         reason: error.to_string(),
@@ -37,7 +37,7 @@
     let Some(value) = parsed.value else {
         return Ok(serde_json::Value::Null);
     };
-    match repeated(&value) {
+    match duplicate_field(&value) {
         Some(field) => Err(Error::DuplicateField {
             file: file.to_owned(),
             field,
@@ -46,24 +46,24 @@
     }
 }
 
-/// The path of a field that is given twice. Of two values one would silently win, and the
-/// reader of the file may have looked at the other.
-fn repeated(value: &Value<'_>) -> Option<String> {
+/// The path of the first field that is given twice. Without this check one value would
+/// silently win, and a reader of the file may have looked at the other.
+fn duplicate_field(value: &Value<'_>) -> Option<String> {
     match value {
-        Value::Object(object) => in_object(object),
-        Value::Array(array) => array.elements.iter().find_map(repeated),
+        Value::Object(object) => duplicate_in_object(object),
+        Value::Array(array) => array.elements.iter().find_map(duplicate_field),
         _ => None,
     }
 }
 
-fn in_object(object: &Object<'_>) -> Option<String> {
+fn duplicate_in_object(object: &Object<'_>) -> Option<String> {
     let mut seen = HashSet::new();
     for property in &object.properties {
         let name = property.name.as_str();
         if !seen.insert(name) {
             return Some(name.to_owned());
         }
-        if let Some(inner) = repeated(&property.value) {
+        if let Some(inner) = duplicate_field(&property.value) {
             return Some(format!("{name}.{inner}"));
         }
     }
--- a/crates/cassiarock-settings/src/entry.rs
+++ b/crates/cassiarock-settings/src/entry.rs
@@ -10,54 +10,54 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What an entry learns at its start. `docs/SETTINGS.md` describes each field.
+/// Settings that an entry reads at startup. `docs/SETTINGS.md` describes each field.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// This process's name, unlike that of every other entry and agent.
+    /// The name of this process, unique among all entries and agents.
     pub name: Name,
     /// The data centre of this VM.
     pub data_centre: Name,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where the system's own processes connect.
+    /// Listen address for the system's own processes.
     pub peers: SocketAddr,
-    /// The address of `peers` as others reach it; by default `peers` as bound.
+    /// The address at which others reach `peers`; by default the bound address.
     #[serde(default)]
     pub peers_public: Option<SocketAddr>,
-    /// Where metrics, status and explanations are served.
+    /// Listen address for metrics, status and explanations.
     pub metrics: SocketAddr,
-    /// The address of `metrics` as others reach it; by default `metrics` as bound.
+    /// The address at which others reach `metrics`; by default the bound address.
     #[serde(default)]
     pub metrics_public: Option<SocketAddr>,
     /// Base URL of the platform's log.
     pub log: String,
     /// The key shared by all processes of the system.
     pub key: Key,
-    /// The form of log lines.
+    /// The format of log lines.
     #[serde(default)]
     pub log_format: Format,
-    /// The bounds of the callers' API.
+    /// Limits of the callers' API.
     #[serde(default)]
     pub limits: Limits,
-    /// How far the clocks of two VMs may differ. Must be the same everywhere.
+    /// The largest difference between the clocks of two VMs. Must be the same at all processes.
     #[serde(default = "Entry::clock_skew")]
     #[serde_as(as = "Time")]
     pub clock_skew: Duration,
-    /// How long the agents remember a job: their `ledger.age`.
+    /// How long the agents keep a job's record; equals their `ledger.age`.
     #[serde(default = "Entry::remembered")]
     #[serde_as(as = "Time")]
     pub remembered: Duration,
-    /// Base URLs of other processes' monitors, entries best, to learn the state from while the
-    /// log is down.
+    /// Base URLs of other processes' monitoring listeners, preferably those of entries, from
+    /// which the state is read while the log is down.
     #[serde(default)]
     pub neighbours: Vec<String>,
-    /// How long the log keeps a record. Snapshots are written well before.
+    /// How long the log keeps a record. Snapshots are written well before it expires.
     #[serde(default = "Entry::log_retention")]
     #[serde_as(as = "Time")]
     pub log_retention: Duration,
-    /// How long a drain may take before what is left is cut.
+    /// How long a drain may take before the remaining work is cut off.
     #[serde(default = "Entry::drain_limit")]
     #[serde_as(as = "Time")]
     pub drain_limit: Duration,
@@ -67,7 +67,7 @@
 }
 
 impl Entry {
-    /// An entry on loopback ports that the system draws, for tests and examples.
+    /// An entry on ephemeral loopback ports, for tests and examples.
     ///
     /// ```
     /// use cassiarock_settings::Entry;
@@ -81,14 +81,14 @@
         log: impl Into<String>,
         key: &str,
     ) -> Self {
-        let drawn = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let ephemeral = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         Self {
             name: name.into(),
             data_centre: data_centre.into(),
-            callers: drawn,
-            peers: drawn,
+            callers: ephemeral,
+            peers: ephemeral,
             peers_public: None,
-            metrics: drawn,
+            metrics: ephemeral,
             metrics_public: None,
             log: log.into(),
             key: Key::from(key),
@@ -128,7 +128,7 @@
         Ok(settings)
     }
 
-    /// Checks ranges and what fields mean to one another; `file` is named in errors.
+    /// Checks the range of each field and the consistency between fields; `file` is named in errors.
     ///
     /// ```
     /// use cassiarock_settings::Entry;
@@ -137,10 +137,10 @@
     /// assert!(entry.check("in memory").is_err());
     /// ```
     pub fn check(&self, file: &str) -> Result<(), Error> {
-        self.checked().map_err(|problem| problem.in_file(file))
+        self.check_fields().map_err(|problem| problem.in_file(file))
     }
 
-    fn checked(&self) -> Check {
+    fn check_fields(&self) -> Check {
         check::name("name", &self.name)?;
         check::name("data_centre", &self.data_centre)?;
         check::distinct(&[
@@ -158,8 +158,8 @@
         check::between(
             "remembered",
             self.remembered,
-            Ledger::LEAST_AGE,
-            Ledger::MOST_AGE,
+            Ledger::MIN_AGE,
+            Ledger::MAX_AGE,
         )?;
         check::retention(self.log_retention)?;
         check::drain(self.drain_limit)?;
@@ -174,8 +174,8 @@
         Duration::from_millis(500)
     }
 
-    /// Short, since a log that keeps its records for longer does no harm, and at the full size
-    /// of 2,900 agents a snapshot each quarter of an hour is 0.9 KB/s for each process.
+    /// Short, because a log that keeps records for longer does no harm. At the full size of
+    /// 2,900 agents, a snapshot every quarter of an hour costs each process 0.9 KB/s.
     pub(crate) const fn log_retention() -> Duration {
         Duration::from_secs(3600)
     }
--- a/crates/cassiarock-settings/src/error.rs
+++ b/crates/cassiarock-settings/src/error.rs
@@ -1,8 +1,8 @@
-//! What can be wrong with settings.
+//! Errors in settings.
 
 use std::path::PathBuf;
 
-/// Why settings were not taken. Each text names the file, the field and the remedy.
+/// Why settings were rejected. Each message names the file, the field and the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file could not be read. Check the path and the permissions.
@@ -10,15 +10,15 @@
     Unreadable {
         /// The file as it was given.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The text is not JSON with comments. Mend it at the line and column named.
+    /// The text is not JSON with comments. Correct it at the line and column given.
     #[error("{file}: not JSON with comments: {reason}")]
     Syntax {
         /// The file, or the name given to the text.
         file: String,
-        /// The parser's finding with its place.
+        /// The parser's message with line and column.
         reason: String,
     },
     /// A field that these settings do not have, often a misspelling or a field of the
@@ -48,7 +48,7 @@
         /// The path of the field, joined by dots.
         field: String,
     },
-    /// A value of the wrong type or form. Write it as the text says.
+    /// A value of the wrong type or format. Write it as the message says.
     #[error("{file}: field `{field}`: {reason}")]
     Type {
         /// The file, or the name given to the text.
@@ -58,17 +58,17 @@
         /// What was expected and what was found.
         reason: String,
     },
-    /// A value of the right type that cannot work, alone or beside another. Change it
-    /// as the remedy says.
+    /// A value of the right type that is out of range or conflicts with another field.
+    /// Change it as the remedy says.
     #[error("{file}: field `{field}`: {problem}; {remedy}")]
     Range {
         /// The file, or the name given to the text.
         file: String,
         /// The path of the field, joined by dots.
         field: String,
-        /// Why the value cannot work.
+        /// Why the value is invalid.
         problem: String,
-        /// What would work.
+        /// What to write instead.
         remedy: String,
     },
 }
--- a/crates/cassiarock-settings/src/health.rs
+++ b/crates/cassiarock-settings/src/health.rs
@@ -1,4 +1,4 @@
-//! How an agent watches its worker.
+//! Health checks of an agent's worker.
 
 use crate::check::{self, Check};
 use crate::units::Time;
@@ -6,7 +6,7 @@
 use serde_with::serde_as;
 use std::time::Duration;
 
-/// The rhythm of health checks on the worker.
+/// Interval, timeout and failure threshold of the worker's health checks.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
@@ -17,16 +17,16 @@
     /// A check without an answer for this long counts as failed.
     #[serde_as(as = "Time")]
     pub timeout: Duration,
-    /// Failed checks in a row after which the worker gets no new tasks.
+    /// Consecutive failed checks after which the worker gets no new tasks.
     pub failures: u32,
 }
 
 impl Health {
     pub(crate) fn check(&self) -> Check {
-        const LEAST: Duration = Duration::from_millis(10);
-        const MOST: Duration = Duration::from_secs(60);
-        check::between("health.interval", self.interval, LEAST, MOST)?;
-        check::between("health.timeout", self.timeout, LEAST, MOST)?;
+        const MIN: Duration = Duration::from_millis(10);
+        const MAX: Duration = Duration::from_secs(60);
+        check::between("health.interval", self.interval, MIN, MAX)?;
+        check::between("health.timeout", self.timeout, MIN, MAX)?;
         check::positive("health.failures", self.failures as usize)
     }
 }
--- a/crates/cassiarock-settings/src/key.rs
+++ b/crates/cassiarock-settings/src/key.rs
@@ -1,14 +1,14 @@
-//! The key that the system's own processes share.
+//! The key shared by all processes of the system.
 
 use crate::check::{Check, Problem};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// Shorter keys could be guessed by trying.
-const SHORTEST: usize = 16;
+/// Shorter keys could be guessed by brute force.
+const MIN_KEY_BYTES: usize = 16;
 
-/// The shared key; never shown by `Debug`, so that no log line carries it.
+/// The shared key. `Debug` hides it so that it never appears in a log line.
 ///
 /// ```
 /// use cassiarock_settings::Key;
@@ -21,20 +21,20 @@
 pub struct Key(Arc<str>);
 
 impl Key {
-    /// The key's text, for the handshake between processes alone.
+    /// The key's text. Use it only for the handshake between processes.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
     pub(crate) fn check(&self) -> Check {
-        if self.0.len() >= SHORTEST {
+        if self.0.len() >= MIN_KEY_BYTES {
             return Ok(());
         }
         Err(Problem::new(
             "key",
             format!("has {} characters", self.0.len()),
-            format!("draw a random text of at least {SHORTEST}"),
+            format!("draw a random text of at least {MIN_KEY_BYTES}"),
         ))
     }
 }
--- a/crates/cassiarock-settings/src/limits.rs
+++ b/crates/cassiarock-settings/src/limits.rs
@@ -1,4 +1,4 @@
-//! The bounds of the callers' API.
+//! Limits of the callers' API.
 
 use crate::check::{self, Check};
 use crate::units::{Bytes, Time};
@@ -6,8 +6,8 @@
 use serde_with::serde_as;
 use std::time::Duration;
 
-/// What one caller, and all callers together, may ask of an entry. A submission beyond
-/// a limit is turned away before anything of it starts.
+/// Limits on the requests of one caller and of all callers of an entry. A submission that
+/// exceeds a limit is rejected before any of its tasks start.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
@@ -18,17 +18,17 @@
     /// Largest request head (line and headers), in bytes.
     #[serde_as(as = "Bytes")]
     pub headers: usize,
-    /// Connections held open at a time over all callers.
+    /// Maximum number of open connections over all callers.
     pub connections: usize,
-    /// Tasks in one job.
+    /// Maximum number of tasks in one job.
     pub tasks: usize,
     /// Longest id, kind or team in a submission, in bytes.
     #[serde_as(as = "Bytes")]
     pub name: usize,
-    /// Longest deadline that a submission may ask for.
+    /// Longest deadline that a submission may request.
     #[serde_as(as = "Time")]
     pub deadline: Duration,
-    /// How long a caller may take over sending a request's head, and its body.
+    /// How long a caller may take to send a request's head, and likewise its body.
     #[serde_as(as = "Time")]
     pub receive: Duration,
 }
--- a/crates/cassiarock-settings/src/nearest.rs
+++ b/crates/cassiarock-settings/src/nearest.rs
@@ -1,21 +1,20 @@
-//! The known name nearest to a misspelt one.
+//! Spelling suggestions for unknown names.
 
-/// Names further away than this many edits are not offered: a guess that far off
-/// misleads more than it helps.
-const FARTHEST: usize = 3;
+/// Names at a larger edit distance are not suggested: they mislead more than they help.
+const MAX_DISTANCE: usize = 3;
 
-/// The name in `known` with the fewest edits to `word`, if any is near enough.
+/// The name in `known` with the smallest edit distance to `word`, if it is within the limit.
 pub fn nearest<'a>(word: &str, known: &[&'a str]) -> Option<&'a str> {
     known
         .iter()
-        .map(|name| (edits(word, name), *name))
-        .filter(|(edits, name)| *edits <= FARTHEST.min(name.len() / 2 + 1))
+        .map(|name| (distance(word, name), *name))
+        .filter(|(distance, name)| *distance <= MAX_DISTANCE.min(name.len() / 2 + 1))
         .min()
         .map(|(_, name)| name)
 }
 
-/// The Levenshtein distance, kept in one row.
-fn edits(from: &str, to: &str) -> usize {
+/// The Levenshtein distance, computed with a single row of the matrix.
+fn distance(from: &str, to: &str) -> usize {
     let to: Vec<char> = to.chars().collect();
     let mut row: Vec<usize> = (0..=to.len()).collect();
     for (i, letter) in from.chars().enumerate() {
--- a/crates/cassiarock-settings/src/policy.rs
+++ b/crates/cassiarock-settings/src/policy.rs
@@ -1,4 +1,4 @@
-//! How an entry admits and places work.
+//! Settings of an entry's admission and placement.
 
 use crate::check::{self, Check};
 use crate::units::Time;
@@ -7,24 +7,24 @@
 use serde_with::serde_as;
 use std::time::Duration;
 
-/// The tuning of admission and placement.
+/// Settings of admission and placement.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
     /// How the agent of a task is chosen. Must be the same at all entries.
     pub placement: PlacementPolicy,
-    /// Whether response time or messages count more. Must be the same at all entries and
-    /// agents.
+    /// Whether placement favours short response times or few messages. Must be the same at
+    /// all entries and agents.
     pub weight: Objective,
-    /// Tasks of admitted jobs, waiting and running; further jobs are refused.
+    /// Maximum number of waiting and running tasks of admitted jobs; further jobs are refused.
     pub tasks: usize,
-    /// Admitted jobs; each is a caller who waits.
+    /// Maximum number of admitted jobs. A caller waits for each of them.
     pub jobs: usize,
-    /// The wait allowed to a job whose caller names no deadline.
+    /// How long a job may wait if its caller gives no deadline.
     #[serde_as(as = "Time")]
     pub patience: Duration,
-    /// Retries as a share of successes.
+    /// Maximum number of retries, as a share of successes.
     pub retry_share: f64,
     /// Largest share of a pool from which work may be withheld because its agents seem
     /// faulty.
@@ -33,11 +33,11 @@
 
 impl Policy {
     pub(crate) fn check(&self) -> Check {
-        const LEAST: Duration = Duration::from_millis(100);
-        const MOST: Duration = Duration::from_secs(3600);
+        const MIN: Duration = Duration::from_millis(100);
+        const MAX: Duration = Duration::from_secs(3600);
         check::positive("policy.tasks", self.tasks)?;
         check::positive("policy.jobs", self.jobs)?;
-        check::between("policy.patience", self.patience, LEAST, MOST)?;
+        check::between("policy.patience", self.patience, MIN, MAX)?;
         check::share("policy.retry_share", self.retry_share)?;
         check::share("policy.withheld_share", self.withheld_share)
     }
--- a/crates/cassiarock-settings/src/units.rs
+++ b/crates/cassiarock-settings/src/units.rs
@@ -11,10 +11,10 @@
 use serde_with::{DeserializeAs, SerializeAs};
 use std::time::Duration;
 
-/// Unit names of durations with their lengths in milliseconds, the longest first.
+/// Unit names of durations with their lengths in milliseconds, longest first.
 const TIMES: [(&str, u64); 4] = [("h", 3_600_000), ("min", 60_000), ("s", 1_000), ("ms", 1)];
 
-/// Unit names of sizes with their lengths in bytes, the longest first.
+/// Unit names of sizes with their sizes in bytes, largest first.
 const SIZES: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
@@ -31,7 +31,7 @@
 pub struct Bytes;
 
 impl Time {
-    /// Reads a duration; the error says what a right one looks like.
+    /// Parses a duration; the error shows the valid format.
     ///
     /// ```
     /// use cassiarock_settings::units::Time;
@@ -45,7 +45,7 @@
             })
     }
 
-    /// Writes a duration in the longest unit that needs no fraction.
+    /// Formats a duration in the longest unit that needs no fraction.
     ///
     /// ```
     /// use cassiarock_settings::units::Time;
@@ -61,7 +61,7 @@
 }
 
 impl Bytes {
-    /// Reads a size; the error says what a right one looks like.
+    /// Parses a size; the error shows the valid format.
     ///
     /// ```
     /// use cassiarock_settings::units::Bytes;
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Writes a size in the longest unit that needs no fraction.
+    /// Formats a size in the largest unit that needs no fraction.
     ///
     /// ```
     /// use cassiarock_settings::units::Bytes;
@@ -93,9 +93,14 @@
 }
 
 fn format(value: u64, units: &[(&str, u64)]) -> String {
-    let whole = |(_, length): &&(&str, u64)| value >= *length && value.is_multiple_of(*length);
+    let divides_evenly =
+        |(_, length): &&(&str, u64)| value >= *length && value.is_multiple_of(*length);
     let smallest = units[units.len() - 1];
-    let (name, length) = units.iter().find(whole).copied().unwrap_or(smallest);
+    let (name, length) = units
+        .iter()
+        .find(divides_evenly)
+        .copied()
+        .unwrap_or(smallest);
     format!("{}{name}", value / length)
 }
 
--- a/crates/cassiarock-settings/tests/entry.rs
+++ b/crates/cassiarock-settings/tests/entry.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use yare::parameterized;
 
-/// Parses the least settings with the fields of `change` put over them.
+/// Parses the minimal settings with the fields of `change` overriding theirs.
 fn parse(change: Value) -> Result<Entry, Error> {
     let mut settings = json!({
         "name": "entry-1",
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_least_settings_get_the_defaults() {
+fn minimal_settings_get_the_defaults() {
     let entry = parse(json!({})).unwrap();
     assert_eq!(entry.limits.tasks, 860);
     assert_eq!(entry.peers_public, None);
@@ -41,16 +41,16 @@
     over_the_job_size = { json!({ "limits": { "tasks": 861 } }), "`limits.tasks`: 861 is too large; give at most 860" },
     no_share = { json!({ "policy": { "retry_share": 1.5 } }), "`policy.retry_share`: 1.5 is no share" },
     unknown_policy = { json!({ "policy": { "placement": "credit" } }), "`policy.placement`: unknown variant `credit`, expected one of" },
-    port_clash = { json!({ "metrics": "10.0.0.1:8080" }), "`metrics`: 10.0.0.1:8080 is also the address of `callers`" },
-    port_clash_on_all = { json!({ "callers": "0.0.0.0:8081" }), "`peers`: 10.0.0.1:8081 is also the address of `callers`" },
+    port_conflict = { json!({ "metrics": "10.0.0.1:8080" }), "`metrics`: 10.0.0.1:8080 is also the address of `callers`" },
+    port_conflict_on_all = { json!({ "callers": "0.0.0.0:8081" }), "`peers`: 10.0.0.1:8081 is also the address of `callers`" },
     unreachable = { json!({ "peers": "0.0.0.0:8081" }), "`peers_public`: 0.0.0.0:8081 cannot be reached" },
     host_name = { json!({ "peers": "here:8081" }), "`peers`: invalid socket address" },
     short_key = { json!({ "key": "secret" }), "`key`: has 6 characters; draw a random text of at least 16" },
     tls = { json!({ "log": "https://10.0.0.2" }), "`log`: \"https://10.0.0.2\" is no base URL" },
-    odd_name = { json!({ "name": "entry 1" }), "`name`: \"entry 1\" is no name" },
-    wide_skew = { json!({ "clock_skew": "1min" }), "`clock_skew`: 60s is out of range" },
+    invalid_name = { json!({ "name": "entry 1" }), "`name`: \"entry 1\" is no name" },
+    skew_too_large = { json!({ "clock_skew": "1min" }), "`clock_skew`: 60s is out of range" },
 )]
-fn a_fault_names_file_field_and_remedy(change: Value, expected: &str) {
+fn errors_name_file_field_and_remedy(change: Value, expected: &str) {
     let error = parse(change).unwrap_err().to_string();
     let expected = format!("entry.jsonc: field {expected}");
     assert!(error.starts_with(&expected), "{error}");
@@ -69,10 +69,10 @@
     assert!(error.to_string().contains("line 2"), "{error}");
 }
 
-// A field is changed by adding a line, and the old line stays further down. Whichever won,
-// somebody would have read the other one.
+// Guards against an edit that adds a line for a field and leaves the old line further down.
+// One of the values would silently win while a reader may have seen the other.
 #[test]
-fn a_field_given_twice_is_named() {
+fn a_duplicate_field_is_named() {
     let text = r#"{ "limits": { "tasks": 5, "body": "1MiB", "tasks": 6 } }"#;
     let error = Entry::parse(text, "entry.jsonc").unwrap_err().to_string();
     assert!(
@@ -87,7 +87,7 @@
     hexadecimal = { r#"{ "a": 0xFF }"# },
     two_values = { "{} {}" },
 )]
-fn what_is_not_json_with_comments_is_turned_away(text: &str) {
+fn invalid_json_with_comments_is_rejected(text: &str) {
     assert!(matches!(
         Entry::parse(text, "entry.jsonc"),
         Err(Error::Syntax { .. })
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn settings_survive_being_written_and_read() {
+fn settings_round_trip_through_json() {
     let entry = parse(json!({})).unwrap();
     let text = serde_json::to_string(&entry).unwrap();
     assert_eq!(Entry::parse(&text, "entry.jsonc").unwrap(), entry);
--- a/crates/cassiarock-settings/tests/units.rs
+++ b/crates/cassiarock-settings/tests/units.rs
@@ -12,7 +12,7 @@
     blank = { "2 s", 2_000 },
     zero = { "0ms", 0 },
 )]
-fn a_duration_is_read(text: &str, millis: u64) {
+fn durations_are_parsed(text: &str, millis: u64) {
     assert_eq!(Time::parse(text), Ok(Duration::from_millis(millis)));
 }
 
@@ -25,7 +25,7 @@
     unknown_unit = { "2m" },
     overflow = { "99999999999999999h" },
 )]
-fn what_is_no_duration_is_turned_away(text: &str) {
+fn invalid_durations_are_rejected(text: &str) {
     assert!(Time::parse(text).unwrap_err().contains("250ms"));
 }
 
@@ -34,7 +34,7 @@
     kibibytes = { "16KiB", 16_384 },
     gibibytes = { "2GiB", 2_147_483_648 },
 )]
-fn a_size_is_read_and_written_alike(text: &str, bytes: u64) {
+fn sizes_round_trip(text: &str, bytes: u64) {
     assert_eq!(Bytes::parse(text), Ok(bytes));
     assert_eq!(Bytes::format(bytes), text);
 }
@@ -44,6 +44,6 @@
     lower_case = { "4mib" },
     overflow = { "99999999999GiB" },
 )]
-fn what_is_no_size_is_turned_away(text: &str) {
+fn invalid_sizes_are_rejected(text: &str) {
     assert!(Bytes::parse(text).unwrap_err().contains("64MiB"));
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The example settings and their documentation.
+//! Checks the example settings and their documentation.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use cassiarock_rule::{Configuration, check, source};
@@ -20,8 +20,8 @@
     root().join("settings").join(cluster).join(file)
 }
 
-/// A file in JSON with comments as a `T`.
-fn typed<T: DeserializeOwned>(path: &Path) -> T {
+/// Parses a file in JSON with comments into a `T`.
+fn load_jsonc<T: DeserializeOwned>(path: &Path) -> T {
     let text = fs::read_to_string(path).unwrap();
     let value = parse_jsonc(&text, &path.display().to_string()).unwrap();
     serde_json::from_value(value).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
@@ -41,7 +41,7 @@
 
 #[parameterized(andes = { "andes" }, iceland = { "iceland" })]
 fn the_example_rules_fit_the_example_configuration(cluster: &str) {
-    let configuration: Configuration = typed(&example(cluster, "config.jsonc"));
+    let configuration: Configuration = load_jsonc(&example(cluster, "config.jsonc"));
     let text = fs::read_to_string(example(cluster, "rules.jsonc")).unwrap();
     let rules = source::read(&text, &configuration).unwrap();
     assert_eq!(check::configuration(&configuration, &rules), [""; 0]);
@@ -63,7 +63,7 @@
     let known = serde_json::to_value(load(file.to_owned()).unwrap()).unwrap();
     assert_eq!(
         fields("", &known),
-        fields("", &typed(file)),
+        fields("", &load_jsonc(file)),
         "{}",
         file.display()
     );
