--- a/examples/quickstart/main.rs
+++ b/examples/quickstart/main.rs
@@ -1,7 +1,8 @@
-//! Runs the whole path on this machine: a log stand-in, 11 agents with worker stand-ins,
-//! 3 entries, and callers who submit jobs, some of them twice.
+//! Runs a whole cluster on this machine: a log stand-in, 11 agents with worker stand-ins and
+//! 3 entries. Callers submit jobs, some of them twice.
 //!
-//! The last line counts what the workers saw: tasks lost, and tasks started twice.
+//! The last line of output counts, from what the workers recorded, the tasks that were lost
+//! and the tasks that were started twice.
 
 #[path = "../cluster/mod.rs"]
 mod cluster;
@@ -18,12 +19,12 @@
 const JOBS: usize = 60;
 const SEED: u64 = 7;
 
-/// Every such job is submitted a second time, at another entry and at the same moment.
+/// Every fifth job is submitted a second time, to another entry at the same moment.
 const RESUBMIT_EVERY: usize = 5;
 
-/// A job and what its submissions were answered.
-struct Submitted {
-    tasks: usize,
+/// A job's task count and the answers to its submissions.
+struct SubmittedJob {
+    task_count: usize,
     answers: Vec<Value>,
 }
 
@@ -36,42 +37,45 @@
         cluster.agents.len(),
         Size::default().slots
     );
-    let began = Instant::now();
+    let started_at = Instant::now();
     let submitted = submit_all(&cluster.urls()).await?;
-    println!("answered in {:.2} s", began.elapsed().as_secs_f64());
+    println!("answered in {:.2} s", started_at.elapsed().as_secs_f64());
     Ok(summarise(&cluster, &submitted))
 }
 
-async fn submit_all(urls: &[String]) -> Result<Vec<Submitted>, Box<dyn Error>> {
+async fn submit_all(urls: &[String]) -> Result<Vec<SubmittedJob>, Box<dyn Error>> {
     let mut rng = StdRng::seed_from_u64(SEED);
     let client = reqwest::Client::builder().no_proxy().build()?;
     let mut running = Vec::new();
     for number in 0..JOBS {
-        let tasks = rng.random_range(1..=40);
-        let body = job(&mut rng, tasks);
+        let task_count = rng.random_range(1..=40);
+        let body = random_job(&mut rng, task_count);
         let copies = if number % RESUBMIT_EVERY == 0 { 2 } else { 1 };
-        let sent: Vec<_> = (0..copies)
+        let requests: Vec<_> = (0..copies)
             .map(|copy| {
                 let url = format!("{}/v1/jobs", urls[(number + copy) % urls.len()]);
                 tokio::spawn(submit(client.clone(), url, body.clone()))
             })
             .collect();
-        running.push((tasks, sent));
+        running.push((task_count, requests));
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let mut submitted = Vec::new();
-    for (tasks, sent) in running {
+    for (task_count, requests) in running {
         let mut answers = Vec::new();
-        for one in sent {
-            answers.push(one.await??);
+        for request in requests {
+            answers.push(request.await??);
         }
-        submitted.push(Submitted { tasks, answers });
+        submitted.push(SubmittedJob {
+            task_count,
+            answers,
+        });
     }
     Ok(submitted)
 }
 
-fn job(rng: &mut StdRng, tasks: usize) -> Value {
-    let tasks: Vec<Value> = (0..tasks)
+fn random_job(rng: &mut StdRng, task_count: usize) -> Value {
+    let tasks: Vec<Value> = (0..task_count)
         .map(|task| {
             let run_ms = rng.random_range(20..200);
             json!({"id": format!("task-{task}"), "payload": {"run_ms": run_ms, "echo": task}})
@@ -95,23 +99,27 @@
     response.json().await
 }
 
-fn is_complete(answer: &Value, tasks: usize) -> bool {
+fn is_complete(answer: &Value, task_count: usize) -> bool {
     let results = answer["results"].as_array();
-    answer["outcome"] == "complete" && results.is_some_and(|results| results.len() == tasks)
+    answer["outcome"] == "complete" && results.is_some_and(|results| results.len() == task_count)
 }
 
-fn summarise(cluster: &Cluster, submitted: &[Submitted]) -> ExitCode {
+fn summarise(cluster: &Cluster, submitted: &[SubmittedJob]) -> ExitCode {
     let answers = submitted.iter().map(|job| job.answers.len()).sum::<usize>();
     let failed: Vec<_> = submitted
         .iter()
-        .flat_map(|job| job.answers.iter().filter(|a| !is_complete(a, job.tasks)))
+        .flat_map(|job| {
+            job.answers
+                .iter()
+                .filter(|a| !is_complete(a, job.task_count))
+        })
         .collect();
     println!("{answers} submissions of {} jobs answered", submitted.len());
     for answer in &failed {
         println!("not complete: {answer}");
     }
     let tally = cluster.tally();
-    let tasks: usize = submitted.iter().map(|job| job.tasks).sum();
+    let tasks: usize = submitted.iter().map(|job| job.task_count).sum();
     let doubled = tally.doubled().len();
     let lost = tasks.saturating_sub(tally.starts().len());
     let complete = submitted.len() - failed.len().min(submitted.len());
