--- a/examples/cluster/mod.rs
+++ b/examples/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! A whole system on this machine for the examples: real entries and agents on loopback
-//! sockets, in one process, before stand-ins for the log and the workers.
+//! A whole cluster in one process, shared by the examples: real entries and agents on loopback
+//! sockets, with stand-ins for the log and the workers.
 
-#![allow(dead_code, reason = "each example uses a part of it")]
+#![allow(dead_code, reason = "each example uses only some of the items")]
 
 use cassiarock_test_support::log::Stand;
 use cassiarock_test_support::worker::{Tally, Worker};
@@ -10,16 +10,16 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// The key that the processes share; they live as long as the example.
+/// The key shared by entries and agents, all of which end with the example.
 const KEY: &str = "the examples' own key";
 
-/// How long the parts may take to find each other.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long to wait for each agent to be ready and for each entry to have its links.
+const LINK_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How many data centres and racks the agents are spread over.
+/// The number of data centres that agents and entries are spread over.
 const DATA_CENTRES: usize = 3;
 
-/// Running parts. Dropping it ends them.
+/// The running stand-ins, agents and entries. Dropping it stops them.
 pub struct Cluster {
     pub log: Stand,
     pub workers: Vec<Worker>,
@@ -27,7 +27,7 @@
     pub entries: Vec<cassiarock_entry::Running>,
 }
 
-/// What to run.
+/// How many entries, agents and slots per agent to run, and under which policy.
 #[derive(Clone, Debug)]
 pub struct Size {
     pub entries: usize,
@@ -37,7 +37,7 @@
 }
 
 impl Default for Size {
-    /// The users' sizes of today.
+    /// The sizes of the users' present deployment.
     fn default() -> Self {
         Self {
             entries: 3,
@@ -49,15 +49,17 @@
 }
 
 impl Cluster {
-    /// Starts all parts and waits until every entry is linked to every agent.
+    /// Starts the whole cluster and waits until every entry is linked to every agent.
     pub async fn start(size: &Size) -> Result<Self, Box<dyn Error>> {
         let log = Stand::start().await?;
         let mut workers = Vec::new();
         let mut agents = Vec::new();
         for number in 0..size.agents {
             let worker = Worker::new()?;
-            agents
-                .push(cassiarock_agent::Running::start(agent(size, number, &log, &worker)).await?);
+            agents.push(
+                cassiarock_agent::Running::start(agent_settings(size, number, &log, &worker))
+                    .await?,
+            );
             workers.push(worker);
         }
         let mut entries = Vec::new();
@@ -91,30 +93,35 @@
             .collect()
     }
 
-    /// All workers' counts together.
+    /// The sum of the tallies of all workers.
     pub fn tally(&self) -> Tally {
-        let mut sum = Tally::default();
+        let mut total = Tally::default();
         for worker in &self.workers {
-            sum.add(&worker.tally());
+            total.add(&worker.tally());
         }
-        sum
+        total
     }
 
     async fn wait_until_linked(&self) -> Result<(), Box<dyn Error>> {
-        let ready = self.agents.iter().map(cassiarock_agent::Running::status);
-        for mut status in ready {
-            timeout(PATIENCE, status.wait_for(|now| now.ready)).await??;
+        let agents = self.agents.iter().map(cassiarock_agent::Running::status);
+        for mut status in agents {
+            timeout(LINK_TIMEOUT, status.wait_for(|now| now.ready)).await??;
         }
         for entry in &self.entries {
             let mut status = entry.status();
             let linked = status.wait_for(|now| now.links >= self.agents.len());
-            timeout(PATIENCE, linked).await??;
+            timeout(LINK_TIMEOUT, linked).await??;
         }
         Ok(())
     }
 }
 
-fn agent(size: &Size, number: usize, log: &Stand, worker: &Worker) -> cassiarock_settings::Agent {
+fn agent_settings(
+    size: &Size,
+    number: usize,
+    log: &Stand,
+    worker: &Worker,
+) -> cassiarock_settings::Agent {
     let data_centre = format!("dc-{}", number % DATA_CENTRES + 1);
     let rack = format!("rack-{}", number / 3 + 1);
     let name = format!("agent-{}", number + 1);
@@ -127,7 +134,7 @@
     }
 }
 
-/// A shutdown that is never asked for.
+/// A shutdown signal that stays at the running stage.
 pub fn never() -> watch::Receiver<cassiarock_process::Stage> {
     watch::channel(cassiarock_process::Stage::Run).1
 }
