--- a/examples/stand_ins/main.rs
+++ b/examples/stand_ins/main.rs
@@ -1,6 +1,7 @@
-//! Runs stand-ins for the platform's log and three workers until it is interrupted, and
-//! writes settings for an entry, three agents and the operators' client that use them, to
-//! run the daemons by hand.
+//! Runs stand-ins for the platform's log and three workers until it is interrupted.
+//!
+//! Writes settings that use them, for an entry, three agents and the operators' client, so
+//! that the daemons can be run by hand.
 
 use cassiarock_settings::{Agent, Client, Entry};
 use cassiarock_test_support::log::Stand;
@@ -12,6 +13,7 @@
 use std::process::ExitCode;
 
 const USAGE: &str = "usage: stand_ins DIRECTORY";
+/// The shared key of the processes that are run by hand.
 const KEY: &str = "a key for trials by hand";
 const AGENTS: usize = 3;
 
@@ -29,7 +31,7 @@
         let worker = Worker::new()?;
         let name = format!("agent-{number}");
         let agent = Agent::new(name.as_str(), "dc-1", log.url(), KEY).with_worker(worker.url());
-        write(directory, &name, &agent)?;
+        write_settings(directory, &name, &agent)?;
         workers.push(worker);
     }
     write_entry(directory, &log.url())?;
@@ -45,7 +47,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The client has to know the entry's ports, so they are drawn here.
+/// Writes the settings of the entry and the client. The client has to know the entry's ports,
+/// so free ones are chosen here.
 fn write_entry(directory: &Path, log: &str) -> Result<(), Box<dyn Error>> {
     let mut entry = Entry::new("entry-1", "dc-1", log, KEY);
     entry.callers = free_port()?;
@@ -53,15 +56,19 @@
     let mut client = Client::new("operator", log);
     client.entries = vec![format!("http://{}", entry.callers)];
     client.status = vec![format!("http://{}", entry.metrics)];
-    write(directory, "entry-1", &entry)?;
-    write(directory, "client", &client)
+    write_settings(directory, "entry-1", &entry)?;
+    write_settings(directory, "client", &client)
 }
 
 fn free_port() -> std::io::Result<SocketAddr> {
     std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
-fn write(directory: &Path, name: &str, settings: &impl Serialize) -> Result<(), Box<dyn Error>> {
+fn write_settings(
+    directory: &Path,
+    name: &str,
+    settings: &impl Serialize,
+) -> Result<(), Box<dyn Error>> {
     let text = serde_json::to_string_pretty(settings)?;
     std::fs::write(directory.join(format!("{name}.jsonc")), text)?;
     Ok(())
