--- a/examples/bench/args.rs
+++ b/examples/bench/args.rs
@@ -8,19 +8,19 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Slots of the whole pool: 11 workers with 8 each.
+/// The slots of the whole pool: 11 workers with 8 each.
 pub const SLOTS: usize = 88;
 
 /// How many entries take the callers' jobs.
 pub const ENTRIES: usize = 3;
 
-/// A run is at most this long per policy and round, so that a call is bounded in time.
-const LONGEST: u64 = 120;
+/// The longest arrival period per policy and round, which bounds the time of a run.
+const MAX_SECONDS: u64 = 120;
 
-/// Rounds at most, for the same reason.
-const MOST_ROUNDS: u64 = 20;
+/// The most rounds, which bounds the time of a run.
+const MAX_ROUNDS: u64 = 20;
 
-/// Whose sizes and job mix are used.
+/// The deployment whose job mix is used.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Deployment {
     Andes,
@@ -55,12 +55,12 @@
     }
 }
 
-/// A policy with its weight.
+/// A placement policy and its objective, under the name that the command line takes.
 #[derive(Clone, Copy, Debug)]
 pub struct Variant {
     pub name: &'static str,
     pub kind: PlacementPolicy,
-    pub weight: Objective,
+    pub objective: Objective,
 }
 
 const VARIANTS: [Variant; 5] = [
@@ -79,26 +79,30 @@
     ),
 ];
 
-const fn variant(name: &'static str, kind: PlacementPolicy, weight: Objective) -> Variant {
-    Variant { name, kind, weight }
+const fn variant(name: &'static str, kind: PlacementPolicy, objective: Objective) -> Variant {
+    Variant {
+        name,
+        kind,
+        objective,
+    }
 }
 
 impl Variant {
     pub fn is_default(&self) -> bool {
-        self.kind == PlacementPolicy::default() && self.weight == Objective::default()
+        self.kind == PlacementPolicy::default() && self.objective == Objective::default()
     }
 }
 
-/// What to run.
+/// The arguments of the command line.
 #[derive(Clone, Debug)]
 pub struct Args {
     pub deployment: Deployment,
     pub policy: String,
-    /// Offered work over capacity.
+    /// Offered work divided by capacity.
     pub load: f64,
     /// Seconds of arrivals per policy and round.
     pub seconds: u64,
-    /// Rounds, each with its own arrivals, the same for all policies.
+    /// The number of rounds. Each has its own arrivals, which are the same for all policies.
     pub rounds: u64,
     pub scenario: Scenario,
     /// Seed of the first round's arrivals.
@@ -121,12 +125,12 @@
     let seconds = long("seconds")
         .help("seconds of arrivals per policy and round, 15 if left out")
         .argument("S")
-        .guard(|s| (1..=LONGEST).contains(s), "1 to 120 seconds")
+        .guard(|s| (1..=MAX_SECONDS).contains(s), "1 to 120 seconds")
         .fallback(15);
     let rounds = long("rounds")
         .help("rounds with other arrivals, 2 if left out")
         .argument("N")
-        .guard(|n| (1..=MOST_ROUNDS).contains(n), "1 to 20 rounds")
+        .guard(|n| (1..=MAX_ROUNDS).contains(n), "1 to 20 rounds")
         .fallback(2);
     let scenario = long("scenario")
         .help("steady, skew, burst, slow, hole, cancel or wrong")
@@ -171,21 +175,29 @@
             .collect()
     }
 
-    pub const fn length(&self) -> Duration {
+    pub const fn arrival_period(&self) -> Duration {
         Duration::from_secs(self.seconds)
     }
 
-    /// The jobs of a round; run times are whole milliseconds, as workers take them.
+    /// The jobs of a round. Run times are cut to whole milliseconds, the unit workers take.
     pub fn arrivals(&self, round: u64) -> Vec<Job> {
         let mix = self.deployment.mix();
         let seed = self.seed + round;
-        let mut jobs = arrivals(mix, self.load, SLOTS, ENTRIES, 0.0, self.length(), seed);
+        let mut jobs = arrivals(
+            mix,
+            self.load,
+            SLOTS,
+            ENTRIES,
+            0.0,
+            self.arrival_period(),
+            seed,
+        );
         for job in &mut jobs {
             for run in &mut job.runs {
                 *run = Duration::from_millis(run.as_millis() as u64);
             }
         }
-        self.scenario.shape(&mut jobs);
+        self.scenario.adjust(&mut jobs);
         jobs
     }
 }
--- a/examples/bench/callers.rs
+++ b/examples/bench/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: they submit at their time whether or not earlier answers have come.
+//! Open-loop callers: each job is submitted at its arrival time, whether or not earlier jobs
+//! have been answered.
 
 use crate::load::Job;
 use crate::scenario::Scenario;
@@ -8,39 +9,39 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// What a caller was told.
+/// How a job ended, by the answer that its caller received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum JobOutcome {
     Complete,
-    /// It said complete and did not hold every result.
+    /// The answer said complete but did not hold every result.
     Partial,
     Refused,
     Failed,
     Cancelled,
-    /// No answer came, or one that makes no sense.
+    /// No answer came, or one that could not be understood.
     Lost,
 }
 
-/// The end of one job.
+/// The outcome and the response time of one job.
 #[derive(Clone, Copy, Debug)]
-pub struct Answered {
+pub struct AnsweredJob {
     pub index: usize,
-    pub end: End,
-    /// From the job's arrival time to its answer.
+    pub outcome: JobOutcome,
+    /// Time from the job's arrival to its answer.
     pub response: Duration,
 }
 
-/// Submits all jobs, and waits for all answers.
+/// Submits all jobs at their arrival times and waits for all answers.
 pub async fn submit(
     client: &reqwest::Client,
     urls: &[String],
     jobs: &[Job],
     scenario: Scenario,
-) -> Vec<Answered> {
-    let began = Instant::now();
+) -> Vec<AnsweredJob> {
+    let started_at = Instant::now();
     let mut calls = JoinSet::new();
     for (index, job) in jobs.iter().enumerate() {
-        let at = began + job.at;
+        let at = started_at + job.at;
         sleep_until(at).await;
         let id = cassiarock_id::Job::new(Wall::now()).to_string();
         let url = format!("{}/v1/jobs", urls[job.entry]);
@@ -50,10 +51,10 @@
         }
         let call = call(client.clone(), url, body(job, &id), job.runs.len());
         calls.spawn(async move {
-            let end = call.await;
-            Answered {
+            let outcome = call.await;
+            AnsweredJob {
                 index,
-                end,
+                outcome,
                 response: at.elapsed(),
             }
         });
@@ -63,8 +64,8 @@
     answered
 }
 
-/// A job of one short task at an entry.
-pub fn trial(entry: usize) -> Job {
+/// A job of one short task for the entry with index `entry`.
+pub fn warm_up_job(entry: usize) -> Job {
     let run = Duration::from_millis(10);
     Job {
         at: Duration::ZERO,
@@ -79,38 +80,40 @@
 
 async fn cancel(client: reqwest::Client, url: String, after: Duration) {
     sleep(after).await;
-    // The answer goes to the caller that waits; a job that has ended stays as it is.
+    // The caller that submitted the job receives its outcome. Cancelling a job that has ended
+    // changes nothing.
     let _ = client.delete(url).send().await;
 }
 
-async fn call(client: reqwest::Client, url: String, body: Value, tasks: usize) -> End {
+async fn call(client: reqwest::Client, url: String, body: Value, task_count: usize) -> JobOutcome {
     let Ok(response) = client.post(url).json(&body).send().await else {
-        return End::Lost;
+        return JobOutcome::Lost;
     };
     let Ok(answer) = response.json::<Value>().await else {
-        return End::Lost;
+        return JobOutcome::Lost;
     };
-    judge(&answer, tasks)
+    classify(&answer, task_count)
 }
 
-fn judge(answer: &Value, tasks: usize) -> End {
+fn classify(answer: &Value, task_count: usize) -> JobOutcome {
     match answer["outcome"].as_str() {
-        Some("complete") if is_whole(answer, tasks) => End::Complete,
-        Some("complete") => End::Partial,
-        Some("refused_not_run" | "unavailable") => End::Refused,
-        Some("failed_may_have_run") => End::Failed,
-        Some("cancelled") => End::Cancelled,
-        _ => End::Lost,
+        Some("complete") if has_all_results(answer, task_count) => JobOutcome::Complete,
+        Some("complete") => JobOutcome::Partial,
+        Some("refused_not_run" | "unavailable") => JobOutcome::Refused,
+        Some("failed_may_have_run") => JobOutcome::Failed,
+        Some("cancelled") => JobOutcome::Cancelled,
+        _ => JobOutcome::Lost,
     }
 }
 
-/// Whether each task's own payload came back, in order.
-fn is_whole(answer: &Value, tasks: usize) -> bool {
+/// Whether the answer holds the result of each task, in the order of the tasks.
+fn has_all_results(answer: &Value, task_count: usize) -> bool {
     let Some(results) = answer["results"].as_array() else {
         return false;
     };
     let mut numbered = results.iter().enumerate();
-    results.len() == tasks && numbered.all(|(number, result)| result["result"] == json!(number))
+    results.len() == task_count
+        && numbered.all(|(number, result)| result["result"] == json!(number))
 }
 
 fn body(job: &Job, id: &str) -> Value {
--- a/examples/bench/main.rs
+++ b/examples/bench/main.rs
@@ -1,25 +1,25 @@
-//! Compares the placement policies on this machine: real entries and agents, worker
-//! stand-ins, seeded open-loop arrivals, the policies in turn in the same run.
+//! Compares the placement policies on this machine, with real entries and agents and with
+//! worker stand-ins. Arrivals are open-loop and seeded; the policies take turns within a run.
 //!
 //! docs/MEASURES.md says how each figure is defined.
 
 #[path = "../cluster/mod.rs"]
 mod cluster;
-#[allow(dead_code, reason = "the model and the bench use different parts")]
+#[allow(dead_code, reason = "the model and the bench use different items")]
 #[path = "../../crates/cassiarock-policy/tests/model/load.rs"]
 mod load;
-#[allow(dead_code, reason = "the model and the bench use different parts")]
+#[allow(dead_code, reason = "the model and the bench use different items")]
 #[path = "../../crates/cassiarock-policy/tests/model/reference.rs"]
 mod reference;
 
 mod args;
 mod callers;
-mod figures;
 mod meter;
 mod plot;
 mod report;
 mod round;
 mod scenario;
+mod statistics;
 
 use args::Args;
 use report::Report;
--- a/examples/bench/plot.rs
+++ b/examples/bench/plot.rs
@@ -1,21 +1,22 @@
-//! The picture of a run: response over ideal against wasted messages.
+//! Plots response time over ideal against wasted messages, by policy.
 
-use crate::report::{Policy, Report};
+use crate::report::{PolicyFigures, Report};
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
 
 const WIDTH: u32 = 900;
 const HEIGHT: u32 = 600;
-const DOT: i32 = 6;
+const DOT_RADIUS: i32 = 6;
 
-/// Draws one dot per policy, at its mean and, smaller, at its 99th percentile.
+/// Draws for each policy a dot at its mean and a ring at its 99th percentile, as SVG.
 pub fn draw(report: &Report, path: &Path) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, (WIDTH, HEIGHT)).into_drawing_area();
     area.fill(&WHITE)?;
-    let most = |value: fn(&Policy) -> f64| report.policies.iter().map(value).fold(0.1, f64::max);
-    let right = most(|policy| policy.wasted_per_task) * 1.2;
-    let top = most(|policy| policy.over_ideal.p99) * 1.1;
+    let maximum =
+        |value: fn(&PolicyFigures) -> f64| report.policies.iter().map(value).fold(0.1, f64::max);
+    let right = maximum(|policy| policy.wasted_per_task) * 1.2;
+    let top = maximum(|policy| policy.over_ideal.p99) * 1.1;
     let caption = format!(
         "{}, load {}, {}: response over ideal, mean (dot) and p99 (ring)",
         report.deployment, report.load, report.scenario
@@ -36,10 +37,10 @@
         let mean = (policy.wasted_per_task, policy.over_ideal.mean);
         let tail = (policy.wasted_per_task, policy.over_ideal.p99);
         chart
-            .draw_series([Circle::new(mean, DOT, color.filled())])?
+            .draw_series([Circle::new(mean, DOT_RADIUS, color.filled())])?
             .label(policy.name)
-            .legend(move |(x, y)| Circle::new((x, y), DOT, color.filled()));
-        chart.draw_series([Circle::new(tail, DOT, color)])?;
+            .legend(move |(x, y)| Circle::new((x, y), DOT_RADIUS, color.filled()));
+        chart.draw_series([Circle::new(tail, DOT_RADIUS, color)])?;
     }
     chart.configure_series_labels().border_style(BLACK).draw()?;
     area.present()?;
--- a/examples/bench/round.rs
+++ b/examples/bench/round.rs
@@ -1,7 +1,7 @@
-//! One policy over one round's arrivals.
+//! Runs one policy over the arrivals of one round.
 
 use crate::args::{Args, ENTRIES, SLOTS, Variant};
-use crate::callers::{self, Answered, End};
+use crate::callers::{self, AnsweredJob, JobOutcome};
 use crate::cluster::{Cluster, Size};
 use crate::load::Job;
 use crate::meter::Meter;
@@ -10,31 +10,31 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// How long a new pool's membership may take to settle. Before that each job is gathered
-/// from all agents, which a running system does only around changes of members.
+/// How long a new pool's membership may take to settle. Until then each job is gathered from
+/// all agents, which a running system does only around membership changes.
 const WARM_UP: Duration = Duration::from_secs(8);
 
-/// Between two looks at whether it has settled.
-const LOOK: Duration = Duration::from_millis(500);
+/// The pause between two checks whether the membership has settled.
+const WARM_UP_PAUSE: Duration = Duration::from_millis(500);
 
-/// Time for the last frames to be counted after the last answer.
-const SETTLE: Duration = Duration::from_millis(500);
+/// How long to wait after the last answer, so that the last frames are counted.
+const LAST_FRAMES_DELAY: Duration = Duration::from_millis(500);
 
-/// What came of it.
+/// The figures of one policy in one round.
 #[derive(Clone, Debug)]
-pub struct Round {
-    /// Response and ideal of each complete job, in seconds.
+pub struct RoundResult {
+    /// Response time and ideal response time of each complete job, in seconds.
     pub responses: Vec<(f64, f64)>,
-    /// Responses of the same jobs under the omniscient queue and under the one in order
-    /// of arrival, in seconds.
+    /// Response times of the same jobs under the omniscient queue, in seconds.
     pub omniscient: Vec<f64>,
+    /// Response times of the same jobs under the queue in order of arrival, in seconds.
     pub arrival: Vec<f64>,
     pub jobs: usize,
     pub started: usize,
     pub doubled: usize,
     pub partial: usize,
     pub refused: usize,
-    /// The latest refusal after its job's arrival, in seconds.
+    /// The longest time from a job's arrival to its refusal, in seconds.
     pub slowest_refusal: f64,
     pub failed: usize,
     pub goodput: f64,
@@ -45,30 +45,34 @@
     pub seconds: f64,
 }
 
-/// Runs it in a system of its own.
-pub async fn run(args: &Args, variant: &Variant, jobs: &[Job]) -> Result<Round, Box<dyn Error>> {
+/// Runs the jobs under one policy in a cluster of their own.
+pub async fn run(
+    args: &Args,
+    variant: &Variant,
+    jobs: &[Job],
+) -> Result<RoundResult, Box<dyn Error>> {
     let mut size = Size {
         entries: ENTRIES,
         ..Size::default()
     };
     size.policy.placement = variant.kind;
-    size.policy.weight = variant.weight;
+    size.policy.weight = variant.objective;
     let cluster = Cluster::start(&size).await?;
     let client = reqwest::Client::builder().no_proxy().build()?;
     let metrics = format!("http://{}/metrics", cluster.entries[0].addresses().monitor);
     warm_up(&client, &metrics, &cluster.urls()).await?;
-    args.scenario.disturb(&cluster);
+    args.scenario.inject_fault(&cluster);
     let before = Meter::read(&client, &metrics).await?;
     let started_before = cluster.tally().total();
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let answered = callers::submit(&client, &cluster.urls(), jobs, args.scenario).await;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(LAST_FRAMES_DELAY).await;
     let meter = Meter::read(&client, &metrics).await?.since(&before);
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     eprintln!("frames: {:?}", meter.frames());
     let tally = cluster.tally();
     let started = tally.total() - started_before;
-    Ok(Round {
+    Ok(RoundResult {
         started,
         doubled: tally.doubled().len(),
         wasted: meter.wasted(started),
@@ -76,62 +80,70 @@
         control_bytes: meter.control_bytes(),
         cpu: meter.cpu().as_secs_f64(),
         seconds,
-        ..judge(args, jobs, &answered)
+        ..summarise(args, jobs, &answered)
     })
 }
 
-/// Submits single tasks until none of them has to be gathered.
+/// Submits jobs of one task until none of them has to be gathered, or until [`WARM_UP`] has
+/// passed.
 async fn warm_up(
     client: &reqwest::Client,
     metrics: &str,
     urls: &[String],
 ) -> Result<(), Box<dyn Error>> {
-    let began = std::time::Instant::now();
-    let jobs: Vec<Job> = (0..urls.len()).map(callers::trial).collect();
-    while began.elapsed() < WARM_UP {
+    let started_at = std::time::Instant::now();
+    let jobs: Vec<Job> = (0..urls.len()).map(callers::warm_up_job).collect();
+    while started_at.elapsed() < WARM_UP {
         let before = Meter::read(client, metrics).await?;
         callers::submit(client, urls, &jobs, Scenario::Steady).await;
         let frames = Meter::read(client, metrics).await?.since(&before);
         if frames.gathers() == 0.0 {
-            eprintln!("settled after {:.1} s", began.elapsed().as_secs_f64());
+            eprintln!("settled after {:.1} s", started_at.elapsed().as_secs_f64());
             return Ok(());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(WARM_UP_PAUSE).await;
     }
     eprintln!("jobs are still gathered after {WARM_UP:?}");
     Ok(())
 }
 
-fn judge(args: &Args, jobs: &[Job], answered: &[Answered]) -> Round {
+fn summarise(args: &Args, jobs: &[Job], answered: &[AnsweredJob]) -> RoundResult {
     let least = reference::omniscient(jobs, SLOTS, Order::Least);
     let arrival = reference::omniscient(jobs, SLOTS, Order::Arrival);
-    let complete: Vec<&Answered> = answered
+    let complete: Vec<&AnsweredJob> = answered
         .iter()
-        .filter(|answer| answer.end == End::Complete)
+        .filter(|answer| answer.outcome == JobOutcome::Complete)
         .collect();
-    let count = |end| answered.iter().filter(|answer| answer.end == end).count();
-    let refusals = answered.iter().filter(|answer| answer.end == End::Refused);
+    let count = |outcome| {
+        answered
+            .iter()
+            .filter(|answer| answer.outcome == outcome)
+            .count()
+    };
+    let refusals = answered
+        .iter()
+        .filter(|answer| answer.outcome == JobOutcome::Refused);
     let pick = |times: &[Duration]| {
         let times = complete.iter().map(|answer| times[answer.index]);
         times.map(|time| time.as_secs_f64()).collect()
     };
-    let response = |answer: &&Answered| {
+    let response = |answer: &&AnsweredJob| {
         let ideal = reference::ideal(&jobs[answer.index], SLOTS);
         (answer.response.as_secs_f64(), ideal.as_secs_f64())
     };
-    Round {
+    RoundResult {
         responses: complete.iter().map(response).collect(),
         omniscient: pick(&least),
         arrival: pick(&arrival),
         jobs: jobs.len(),
         started: 0,
         doubled: 0,
-        partial: count(End::Partial),
-        refused: count(End::Refused),
+        partial: count(JobOutcome::Partial),
+        refused: count(JobOutcome::Refused),
         slowest_refusal: refusals
             .map(|answer| answer.response.as_secs_f64())
             .fold(0.0, f64::max),
-        failed: count(End::Failed) + count(End::Lost),
+        failed: count(JobOutcome::Failed) + count(JobOutcome::Lost),
         goodput: goodput(args, jobs, &complete),
         wasted: 0.0,
         claims: 0.0,
@@ -141,10 +153,11 @@
     }
 }
 
-/// Work of the jobs completed after the first quarter of the arrivals and before their
-/// end, over what all slots could do in that time.
-fn goodput(args: &Args, jobs: &[Job], complete: &[&Answered]) -> f64 {
-    let (from, until) = (args.length() / 4, args.length());
+/// The share of the pool's slot time spent on completed jobs: the work of the jobs completed
+/// after the first quarter of the arrival period and before its end, over the time of all
+/// slots in between.
+fn goodput(args: &Args, jobs: &[Job], complete: &[&AnsweredJob]) -> f64 {
+    let (from, until) = (args.arrival_period() / 4, args.arrival_period());
     let in_time = complete.iter().filter(|answer| {
         let end = jobs[answer.index].at + answer.response;
         end >= from && end < until
--- a/examples/bench/scenario.rs
+++ b/examples/bench/scenario.rs
@@ -1,4 +1,4 @@
-//! Disturbances of a run.
+//! Scenarios of a run: steady load, or one kind of disturbance.
 
 use crate::cluster::Cluster;
 use crate::load::Job;
@@ -6,18 +6,18 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// What is disturbed.
+/// What, if anything, is disturbed during a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Scenario {
-    /// Nothing.
+    /// No disturbance.
     Steady,
-    /// Nine of ten jobs come to one entry.
+    /// Nine of ten jobs are sent to the first entry.
     Skew,
-    /// The jobs of each five seconds come at once.
+    /// The jobs of each five seconds arrive at once.
     Burst,
-    /// One worker takes five times as long.
+    /// One worker takes five times as long for each task.
     Slow,
-    /// One worker fails every task at once.
+    /// One worker fails every task immediately.
     Hole,
     /// Every second job is cancelled 300 ms after it was submitted.
     Cancel,
@@ -25,10 +25,10 @@
     Wrong,
 }
 
-/// How often a burst comes.
-const BURST: Duration = Duration::from_secs(5);
+/// The time between two bursts.
+const BURST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// After how long a job is cancelled.
+/// The time from a job's submission to its cancellation.
 const CANCEL_AFTER: Duration = Duration::from_millis(300);
 
 impl Scenario {
@@ -44,20 +44,22 @@
         }
     }
 
-    /// Changes the arrivals.
-    pub fn shape(self, jobs: &mut [Job]) {
+    /// Applies the disturbances of arrivals and declared run times to the jobs.
+    pub fn adjust(self, jobs: &mut [Job]) {
         for (index, job) in jobs.iter_mut().enumerate() {
             match self {
                 Self::Skew if index % 10 != 0 => job.entry = 0,
-                Self::Burst => job.at = BURST * (job.at.as_secs() / BURST.as_secs()) as u32,
+                Self::Burst => {
+                    job.at = BURST_INTERVAL * (job.at.as_secs() / BURST_INTERVAL.as_secs()) as u32
+                }
                 Self::Wrong => job.declared *= 10,
                 _ => {}
             }
         }
     }
 
-    /// Switches a fault on.
-    pub fn disturb(self, cluster: &Cluster) {
+    /// Sets the scenario's fault, if it has one, at the first worker.
+    pub fn inject_fault(self, cluster: &Cluster) {
         let fault = match self {
             Self::Slow => Fault::Slow(5.0),
             Self::Hole => Fault::FailFast,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// When to cancel the job with this index.
+    /// How long after its submission the job with this index is cancelled, if at all.
     pub const fn cancel_after(self, index: usize) -> Option<Duration> {
         match self {
             Self::Cancel if index.is_multiple_of(2) => Some(CANCEL_AFTER),
--- a/examples/bench/figures.rs
+++ b/examples/bench/statistics.rs
@@ -1,17 +1,17 @@
-//! Sums over rounds.
+//! Summary statistics of the measured values.
 
 use serde::Serialize;
 
-/// A distribution in short.
+/// The mean and some percentiles of a set of values.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Spread {
+pub struct Distribution {
     pub mean: f64,
     pub p50: f64,
     pub p99: f64,
     pub p999: f64,
 }
 
-impl Spread {
+impl Distribution {
     pub fn new(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
         let last = values.len().saturating_sub(1);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Each figure over that of `other`.
+    /// Each figure divided by that of `other`, or 0 where the latter is not positive.
     pub fn over(&self, other: &Self) -> Self {
         let ratio = |ours: f64, theirs: f64| if theirs > 0.0 { ours / theirs } else { 0.0 };
         Self {
@@ -40,7 +40,7 @@
 }
 
 /// The smallest and the largest of some values.
-pub fn range(values: impl Iterator<Item = f64>) -> (f64, f64) {
+pub fn min_and_max(values: impl Iterator<Item = f64>) -> (f64, f64) {
     values.fold((f64::INFINITY, f64::NEG_INFINITY), |(low, high), value| {
         (low.min(value), high.max(value))
     })
