--- a/examples/capacity/child.rs
+++ b/examples/capacity/child.rs
@@ -1,4 +1,5 @@
-//! The processes that are measured: several entries, or several agents with their workers.
+//! The child processes that are measured: one runs all entries, one all agents with their
+//! workers.
 
 use cassiarock_settings as settings;
 use cassiarock_test_support::worker::Worker;
@@ -11,15 +12,15 @@
 
 const KEY: &str = "the examples' own key";
 
-/// A role's process, ended on drop.
-pub struct Role {
+/// A child process that runs the nodes of one role. Dropping it kills the process.
+pub struct ChildProcess {
     child: Child,
-    /// What it printed: the addresses of its parts.
-    pub parts: Value,
+    /// The addresses of its nodes, as the process printed them.
+    pub nodes: Value,
 }
 
-impl Role {
-    /// Starts this program again as `role` and waits until its parts listen.
+impl ChildProcess {
+    /// Starts this program as `role` with `count` nodes and waits until they listen.
     pub fn start(role: &str, count: usize, log: &str) -> Result<Self, Box<dyn Error>> {
         let mut child = Command::new(std::env::current_exe()?)
             .args([role, &count.to_string(), log])
@@ -29,33 +30,35 @@
             .spawn()?;
         let output = child.stdout.take().ok_or("no standard output")?;
         let mut lines = std::io::BufRead::lines(std::io::BufReader::new(output));
-        let line = lines.next().ok_or("it ended at once")??;
-        let parts = serde_json::from_str(&line)?;
-        Ok(Self { child, parts })
+        let line = lines
+            .next()
+            .ok_or("the child process ended before it listened")??;
+        let nodes = serde_json::from_str(&line)?;
+        Ok(Self { child, nodes })
     }
 
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The addresses of one kind.
+    /// The addresses of one kind, such as `monitor`, of all nodes.
     pub fn addresses(&self, kind: &str) -> Vec<String> {
-        let parts = self.parts.as_array().into_iter().flatten();
-        let addresses = parts.filter_map(|part| part[kind].as_str());
+        let nodes = self.nodes.as_array().into_iter().flatten();
+        let addresses = nodes.filter_map(|node| node[kind].as_str());
         addresses.map(str::to_owned).collect()
     }
 }
 
-impl Drop for Role {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Killing fails if the process has already ended, which is fine.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Runs entries until standard input closes. They write their decision log as the daemon
-/// does, a line for each placement.
+/// Runs entries until standard input closes. Like the daemon they log their decisions,
+/// a line for each placement.
 pub async fn entries(count: usize, log: &str) -> Result<(), Box<dyn Error>> {
     let _logger = log_decisions()?;
     let mut running = Vec::new();
@@ -64,18 +67,18 @@
         let entry = settings::Entry::new(name.as_str(), data_centre(number), log, KEY);
         running.push(cassiarock_entry::Running::start(entry).await?);
     }
-    let parts = running.iter().map(|entry| {
+    let nodes = running.iter().map(|entry| {
         let addresses = entry.addresses();
         json!({
             "callers": addresses.callers.to_string(),
             "monitor": addresses.monitor.to_string(),
         })
     });
-    println!("{}", Value::from_iter(parts));
-    wait_for_end().await
+    println!("{}", Value::from_iter(nodes));
+    wait_for_stdin_close().await
 }
 
-/// Runs agents, each before a worker stand-in, until standard input closes.
+/// Runs agents, each with a worker stand-in, until standard input closes.
 pub async fn agents(count: usize, log: &str) -> Result<(), Box<dyn Error>> {
     let _logger = log_decisions()?;
     let mut running = Vec::new();
@@ -86,11 +89,11 @@
         let agent = agent.with_worker(worker.url());
         running.push((cassiarock_agent::Running::start(agent).await?, worker));
     }
-    let parts = running
+    let nodes = running
         .iter()
         .map(|(agent, _)| json!({ "monitor": agent.monitor().to_string() }));
-    println!("{}", Value::from_iter(parts));
-    wait_for_end().await
+    println!("{}", Value::from_iter(nodes));
+    wait_for_stdin_close().await
 }
 
 fn log_decisions() -> Result<LoggerHandle, FlexiLoggerError> {
@@ -102,11 +105,11 @@
     format!("dc-{}", number % 3 + 1)
 }
 
-async fn wait_for_end() -> Result<(), Box<dyn Error>> {
-    let ended = tokio::task::spawn_blocking(|| std::io::stdin().read_to_end(&mut Vec::new()));
-    ended.await??;
+async fn wait_for_stdin_close() -> Result<(), Box<dyn Error>> {
+    let closed = tokio::task::spawn_blocking(|| std::io::stdin().read_to_end(&mut Vec::new()));
+    closed.await??;
     Ok(())
 }
 
-/// How often something is waited for.
-pub const POLL: Duration = Duration::from_millis(50);
+/// The time between two checks of a condition that is waited for.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/examples/capacity/load.rs
+++ b/examples/capacity/load.rs
@@ -1,9 +1,9 @@
-//! What one more job and one more task cost.
+//! Measures what one more job and one more task cost.
 
-use crate::child::Role;
+use crate::child::ChildProcess;
 use crate::claims;
 use crate::links::wait_until_linked;
-use crate::sample::{Rate, Sample, line};
+use crate::sample::{Sample, Usage, fit_line};
 use cassiarock_id::{Job, Wall};
 use cassiarock_test_support::log::Stand;
 use serde_json::{Value, json};
@@ -12,32 +12,33 @@
 
 const AGENTS: usize = 11;
 
-/// Tasks in a job, in the three runs.
-const TASKS: [usize; 3] = [1, 10, 100];
+/// The number of tasks per job in each of the three runs.
+const TASKS_PER_JOB: [usize; 3] = [1, 10, 100];
 
-/// How long each run submits.
-const SUBMIT: Duration = Duration::from_secs(6);
+/// How long jobs are submitted in each run.
+const SUBMIT_TIME: Duration = Duration::from_secs(6);
 
-/// Callers who submit one job after the other.
+/// The number of concurrent callers. Each submits its next job when the last one is answered.
 const CALLERS: usize = 24;
 
-/// Views are settled, and jobs claimed rather than gathered, this long after the start.
-const SETTLE: Duration = Duration::from_secs(7);
+/// How long to wait after the start for the views to settle, so that jobs are claimed and not
+/// gathered.
+const SETTLE_TIME: Duration = Duration::from_secs(7);
 
 pub async fn measure() -> Result<Value, Box<dyn Error>> {
     let log = Stand::start().await?;
-    let entries = Role::start("entries", 1, &log.url())?;
-    let agents = Role::start("agents", AGENTS, &log.url())?;
+    let entries = ChildProcess::start("entries", 1, &log.url())?;
+    let agents = ChildProcess::start("agents", AGENTS, &log.url())?;
     let monitor = entries.addresses("monitor");
     wait_until_linked(&monitor, AGENTS).await?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     println!("{AGENTS} agents, 1 entry, tasks of 1 ms: for one job");
     println!(
         "{:>8} {:>8} {:>12} {:>12} {:>12} {:>12} {:>12}",
         "tasks", "jobs/s", "tasks/s", "entry frames", "entry bytes", "entry us", "agents us"
     );
     let mut points = Vec::new();
-    for tasks in TASKS {
+    for tasks in TASKS_PER_JOB {
         let agent = agents.addresses("monitor");
         let entry_before = Sample::take(entries.id(), &monitor[0]).await?;
         let agents_before = Sample::take(agents.id(), &agent[0]).await?;
@@ -45,26 +46,26 @@
         let entry = Sample::take(entries.id(), &monitor[0])
             .await?
             .since(&entry_before);
-        let others = Sample::take(agents.id(), &agent[0])
+        let agents_usage = Sample::take(agents.id(), &agent[0])
             .await?
             .since(&agents_before);
-        print(tasks, jobs, &entry, &others);
-        points.push((tasks as f64, jobs as f64, entry, others));
+        print(tasks, jobs, &entry, &agents_usage);
+        points.push((tasks as f64, jobs as f64, entry, agents_usage));
     }
     let claim = claims::measure(&entries, &monitor[0]).await?;
     Ok(json!({ "slopes": slopes(&points), "claim": claim }))
 }
 
-/// Submits jobs for a while; how many were complete.
+/// Submits jobs for [`SUBMIT_TIME`] and returns how many were complete.
 async fn submit(entry: &str, tasks: usize) -> Result<usize, Box<dyn Error>> {
     let client = reqwest::Client::builder().no_proxy().build()?;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let callers: Vec<_> = (0..CALLERS)
         .map(|_| {
             let (client, url) = (client.clone(), format!("http://{entry}/v1/jobs"));
             tokio::spawn(async move {
                 let mut complete = 0;
-                while began.elapsed() < SUBMIT {
+                while started_at.elapsed() < SUBMIT_TIME {
                     let sent = client.post(&url).json(&job(tasks, false)).send().await;
                     complete += usize::from(sent.is_ok_and(|reply| reply.status().is_success()));
                 }
@@ -91,7 +92,7 @@
     })
 }
 
-fn print(tasks: usize, jobs: usize, entry: &Rate, agents: &Rate) {
+fn print(tasks: usize, jobs: usize, entry: &Usage, agents: &Usage) {
     let done = jobs as f64;
     println!(
         "{:>8} {:>8.0} {:>12.0} {:>12.1} {:>12.0} {:>12.0} {:>12.0}",
@@ -105,21 +106,21 @@
     );
 }
 
-fn slopes(points: &[(f64, f64, Rate, Rate)]) -> Value {
-    let of = |value: fn(&Rate, &Rate) -> f64| {
+fn slopes(points: &[(f64, f64, Usage, Usage)]) -> Value {
+    let slope_of = |value: fn(&Usage, &Usage) -> f64| {
         let points: Vec<_> = points
             .iter()
             .map(|(tasks, jobs, entry, agents)| (*tasks, value(entry, agents) / jobs))
             .collect();
-        let (slope, rest) = line(&points);
-        json!({ "per_task": slope, "per_job": rest })
+        let (slope, intercept) = fit_line(&points);
+        json!({ "per_task": slope, "per_job": intercept })
     };
     let slopes = json!({
-        "entry_frames": of(|entry, _| entry.frames),
-        "entry_bytes": of(|entry, _| entry.bytes),
-        "entry_cpu_us": of(|entry, _| entry.cpu * 1e6),
-        "agents_and_workers_cpu_us": of(|_, agents| agents.cpu * 1e6),
-        "agents_bytes": of(|_, agents| agents.bytes),
+        "entry_frames": slope_of(|entry, _| entry.frames),
+        "entry_bytes": slope_of(|entry, _| entry.bytes),
+        "entry_cpu_us": slope_of(|entry, _| entry.cpu * 1e6),
+        "agents_and_workers_cpu_us": slope_of(|_, agents| agents.cpu * 1e6),
+        "agents_bytes": slope_of(|_, agents| agents.bytes),
     });
     println!("slopes: {slopes}\n");
     slopes
--- a/examples/capacity/sample.rs
+++ b/examples/capacity/sample.rs
@@ -1,13 +1,13 @@
-//! What a process has used so far.
+//! Samples of the resources that a process has used.
 
 use std::error::Error;
 use std::fs;
 use std::time::{Duration, Instant};
 
-/// Kernel ticks a second, by which processor time is told.
-const TICKS: f64 = 100.0;
+/// Kernel clock ticks per second, the unit of processor time in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// A reading of one process.
+/// The resources that one process has used up to a point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
     at: Instant,
@@ -21,9 +21,9 @@
     frames: f64,
 }
 
-/// The difference of two readings.
+/// The resources that a process used between two samples.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
+pub struct Usage {
     pub seconds: f64,
     pub cpu: f64,
     pub bytes: f64,
@@ -44,16 +44,16 @@
         let metrics = metrics.text().await?;
         Ok(Self {
             at: Instant::now(),
-            cpu: ticks / TICKS,
+            cpu: ticks / TICKS_PER_SECOND,
             memory: resident.ok_or("no resident memory")?.parse::<f64>()? * 1024.0,
             bytes: counter(&metrics, "cassiarock_peer_sent_bytes_total"),
             frames: counter(&metrics, "cassiarock_peer_sent_frames_total"),
         })
     }
 
-    /// What was used since `earlier`.
-    pub fn since(&self, earlier: &Self) -> Rate {
-        Rate {
+    /// The resources used since `earlier`.
+    pub fn since(&self, earlier: &Self) -> Usage {
+        Usage {
             seconds: self.at.duration_since(earlier.at).as_secs_f64(),
             cpu: self.cpu - earlier.cpu,
             bytes: self.bytes - earlier.bytes,
@@ -62,14 +62,15 @@
     }
 }
 
-/// Reads a process twice, `pause` apart.
-pub async fn over(
+/// Samples a process twice, `duration` apart. Returns the second sample and the usage between
+/// the two.
+pub async fn measure(
     id: u32,
     monitor: &str,
-    pause: Duration,
-) -> Result<(Sample, Rate), Box<dyn Error>> {
+    duration: Duration,
+) -> Result<(Sample, Usage), Box<dyn Error>> {
     let before = Sample::take(id, monitor).await?;
-    tokio::time::sleep(pause).await;
+    tokio::time::sleep(duration).await;
     let after = Sample::take(id, monitor).await?;
     Ok((after, after.since(&before)))
 }
@@ -82,13 +83,13 @@
     values.sum()
 }
 
-/// The slope of the least-squares line through `points`, and what it leaves at 0.
-pub fn line(points: &[(f64, f64)]) -> (f64, f64) {
+/// The slope and the intercept of the least-squares line through `points`.
+pub fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    let common = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
-    let slope = common.sum::<f64>() / spread;
+    let variation_x: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    let covariation = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
+    let slope = covariation.sum::<f64>() / variation_x;
     (slope, mean_y - slope * mean_x)
 }
