--- a/crates/cassiarock-entry/src/explain.rs
+++ b/crates/cassiarock-entry/src/explain.rs
@@ -14,6 +14,7 @@
 /// The body of `POST /explain`: the request whose decision is to be explained.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
+#[serde(expecting = "struct Question")] // part of the answer to a malformed body
 struct ExplainRequest {
     kind: Name,
     team: Name,
--- a/crates/cassiarock-rule/src/request.rs
+++ b/crates/cassiarock-rule/src/request.rs
@@ -8,6 +8,7 @@
 /// The resources that a job declares for each of its tasks, or that an upstream has in total.
 /// Declarations are often far off: rules may match on them, but placement must not rely on them.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
+#[serde(expecting = "struct Need")] // part of the answer to a malformed body
 pub struct Resources {
     /// Processor cores.
     pub cores: u32,
