--- a/crates/cassiarock-transient/src/scheduler/action.rs
+++ b/crates/cassiarock-transient/src/scheduler/action.rs
@@ -38,7 +38,7 @@
     Measure(Latency, Name, Duration),
 }
 
-/// A measured latency of a job.
+/// A latency of a job that is exported as a metric.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Latency {
     /// From the job's arrival until its first tasks were placed.
--- a/tests/failures/worker.rs
+++ b/tests/failures/worker.rs
@@ -80,7 +80,7 @@
     let cluster = Cluster::start(1, 4).await;
     cluster.agents[0].worker.set_fault(Fault::FailFast);
     let mut first = complete(&cluster).await;
-    // Placement is random: once in some twenty runs the worker gets fewer than six of the first.
+    // Placement is random, and the worker may get fewer than six of the first.
     for _ in 0..ROUNDS {
         if cluster.agents[0].worker.total() < STREAK {
             first += complete(&cluster).await;
